--- a/src/bankrudder/calls/__init__.py
+++ b/src/bankrudder/calls/__init__.py
@@ -1,6 +1,6 @@
-"""Calls of the project's own interface: places, classes of callers, keys."""
+"""Calls over the gRPC interface: admission by caller class and idempotency keys."""
 
-from bankrudder.calls._admission import ClassAdmission, ClassTerms
+from bankrudder.calls._admission import ClassAdmission, ClassPolicy
 from bankrudder.calls._cleaning import CLEANING_PAUSE_S, CallCleaner
 from bankrudder.calls._once import OnceRunner
 from bankrudder.calls._records import CALLS_TABLE, CallRecords
@@ -17,7 +17,7 @@
     "CallRecords",
     "CallService",
     "ClassAdmission",
-    "ClassTerms",
+    "ClassPolicy",
     "NO_KEY",
     "OnceRunner",
 ]
--- a/src/bankrudder/calls/_admission.py
+++ b/src/bankrudder/calls/_admission.py
@@ -1,8 +1,8 @@
-"""Which caller's request goes next when the endpoints of a service are busy.
+"""Admission of requests by the priority of their caller class.
 
-Each host admits its own requests, going by what endpoints report of their load and by
-what it sends itself. So classes are kept apart on each host; between hosts only the
-places that a class reserves hold.
+Each host admits its own requests, based on the load that endpoints report and on the
+requests that the host itself has in flight. Priorities therefore apply among the
+requests of one host; between hosts, only the slots that a class reserves take effect.
 """
 
 import asyncio
@@ -23,74 +23,78 @@
 from bankrudder.world import CallerClass, CallerClassName, Clock, DataCentreName
 
 RECHECK_S = 0.02
-"""While requests wait, the load is looked at this often: endpoints report a change of
-it with other answers, which wakes nobody here."""
+"""Interval at which waiting requests check the load again: endpoints report a change of
+load with unrelated answers, which do not wake a waiting request."""
 
 RETRY_AFTER_S = 0.25
-"""When to come back after a refusal: a few times a usual answer."""
+"""Retry delay sent with a refusal: a few times the usual answer time."""
 
 _log = structlog.get_logger("calls")
 
 
-class ClassTerms(msgspec.Struct, frozen=True):
-    """How the requests of a class are treated.
+class ClassPolicy(msgspec.Struct, frozen=True):
+    """How requests of a caller class are admitted.
 
     Attributes
     ----------
-    reserved_above : int
-        Places on each endpoint that more urgent classes keep for themselves.
+    reserved_slot_count : int
+        Slots on each endpoint that classes of higher priority reserve.
     """
 
     name: CallerClassName
     priority: int
     queue_limit: int
     queue_timeout_s: float
-    reserved_above: int = 0
+    reserved_slot_count: int = 0
 
     @classmethod
     def from_config(
-        cls, own: CallerClass, classes: tuple[CallerClass, ...]
-    ) -> "ClassTerms":
-        """Return the terms of a class among all classes."""
+        cls, own_class: CallerClass, classes: tuple[CallerClass, ...]
+    ) -> "ClassPolicy":
+        """Return the policy of `own_class`, given all caller classes."""
         reserved = sum(
-            each.reserved for each in classes if each.priority < own.priority
+            each.reserved for each in classes if each.priority < own_class.priority
         )
         return cls(
-            own.name, own.priority, own.queue_limit, own.queue_timeout_s, reserved
+            own_class.name,
+            own_class.priority,
+            own_class.queue_limit,
+            own_class.queue_timeout_s,
+            reserved,
         )
 
 
-class Place(msgspec.Struct, frozen=True):
-    """Where a request may go; each place is a queue of its own."""
+class QueueKey(msgspec.Struct, frozen=True):
+    """Service and data centres that a request may use; each key has its own queue."""
 
     service: ServiceName
     data_centres: tuple[DataCentreName, ...] = ()
 
 
 @dataclass(order=True)
-class _Waiting:
+class _QueuedRequest:
     priority: int
     sequence: int
-    terms: ClassTerms = field(compare=False)
+    policy: ClassPolicy = field(compare=False)
     admitted: "asyncio.Future[None]" = field(compare=False)
 
 
 class _Queue:
-    """The requests for one place."""
+    """Waiting and admitted requests of one queue key."""
 
     def __init__(self) -> None:
-        self.waiting: list[_Waiting] = []
-        self.waiting_of: Counter[CallerClassName] = Counter()
-        self.admitted = 0
+        self.waiting: list[_QueuedRequest] = []
+        self.waiting_counts: Counter[CallerClassName] = Counter()
+        self.admitted_count = 0
 
 
 class ClassAdmission:
-    """Admits requests by class; tasks that wait are woken in the order of classes."""
+    """Admits requests in the order of class priority, then of arrival."""
 
     def __init__(self, directory: EndpointDirectory, clock: Clock):
         self._directory = directory
         self._clock = clock
-        self._queues: dict[Place, _Queue] = {}
+        self._queues: dict[QueueKey, _Queue] = {}
         self._sequence = itertools.count()
 
     @property
@@ -100,85 +104,99 @@
 
     @asynccontextmanager
     async def admitted(
-        self, place: Place, terms: ClassTerms, deadline: float
+        self, queue_key: QueueKey, policy: ClassPolicy, deadline: float
     ) -> AsyncIterator[None]:
-        """Hold a place while the block runs, after waiting for one.
+        """Wait for a free endpoint slot and hold it while the block runs.
 
         Raises
         ------
         NotRunError
-            If too many of the class wait, or it waited for as long as it may.
+            If the queue limit of the class is reached, or its queue timeout or the
+            deadline passes.
         """
-        queue = self._queues.setdefault(place, _Queue())
-        if queue.waiting or not self._has_room(place, queue, terms):
-            await self._wait(place, queue, terms, deadline)
+        queue = self._queues.setdefault(queue_key, _Queue())
+        if queue.waiting or not self._has_free_slot(queue_key, queue, policy):
+            await self._wait(queue_key, queue, policy, deadline)
         else:
-            queue.admitted += 1
+            queue.admitted_count += 1
         try:
             yield
         finally:
-            queue.admitted -= 1
-            self._admit(place, queue)
+            queue.admitted_count -= 1
+            self._admit_waiting(queue_key, queue)
 
     async def _wait(
-        self, place: Place, queue: _Queue, terms: ClassTerms, deadline: float
+        self, queue_key: QueueKey, queue: _Queue, policy: ClassPolicy, deadline: float
     ) -> None:
-        if queue.waiting_of[terms.name] >= terms.queue_limit:
-            raise _refusal(FailureReason.OVERLOADED, f"{terms.queue_limit} wait")
-        entry = _Waiting(
-            terms.priority,
+        if queue.waiting_counts[policy.name] >= policy.queue_limit:
+            raise _refusal(
+                FailureReason.OVERLOADED,
+                f"the limit of {policy.queue_limit} waiting requests is reached",
+            )
+        entry = _QueuedRequest(
+            policy.priority,
             next(self._sequence),
-            terms,
+            policy,
             asyncio.get_running_loop().create_future(),
         )
         heapq.heappush(queue.waiting, entry)
-        queue.waiting_of[terms.name] += 1
-        until = min(deadline, self._clock.monotonic() + terms.queue_timeout_s)
+        queue.waiting_counts[policy.name] += 1
+        until = min(deadline, self._clock.monotonic() + policy.queue_timeout_s)
         try:
-            await self._until_admitted(place, queue, entry, until)
+            await self._wait_until_admitted(queue_key, queue, entry, until)
         except BaseException:
-            self._leave(queue, entry)
+            self._remove_entry(queue, entry)
             raise
         finally:
-            queue.waiting_of[terms.name] -= 1
+            queue.waiting_counts[policy.name] -= 1
 
-    async def _until_admitted(
-        self, place: Place, queue: _Queue, entry: _Waiting, until: float
+    async def _wait_until_admitted(
+        self, queue_key: QueueKey, queue: _Queue, entry: _QueuedRequest, until: float
     ) -> None:
         while not entry.admitted.done():
-            self._admit(place, queue)
+            self._admit_waiting(queue_key, queue)
             if self._clock.monotonic() >= until and not entry.admitted.done():
                 _log.info(
-                    "calls: waited in vain",
-                    service=place.service,
-                    caller_class=entry.terms.name,
+                    "calls: queue timeout",
+                    service=queue_key.service,
+                    caller_class=entry.policy.name,
                     waiting=len(queue.waiting),
                 )
-                raise _refusal(FailureReason.QUEUE_TIMEOUT, "no place in time")
+                raise _refusal(
+                    FailureReason.QUEUE_TIMEOUT, "no endpoint slot became free in time"
+                )
             await asyncio.wait((entry.admitted,), timeout=RECHECK_S)
 
-    def _leave(self, queue: _Queue, entry: _Waiting) -> None:
+    def _remove_entry(self, queue: _Queue, entry: _QueuedRequest) -> None:
         if entry.admitted.done():
-            queue.admitted -= 1
+            queue.admitted_count -= 1
         elif entry in queue.waiting:
             queue.waiting.remove(entry)
             heapq.heapify(queue.waiting)
 
-    def _admit(self, place: Place, queue: _Queue) -> None:
-        while queue.waiting and self._has_room(place, queue, queue.waiting[0].terms):
+    def _admit_waiting(self, queue_key: QueueKey, queue: _Queue) -> None:
+        while queue.waiting and self._has_free_slot(
+            queue_key, queue, queue.waiting[0].policy
+        ):
             entry = heapq.heappop(queue.waiting)
-            queue.admitted += 1
+            queue.admitted_count += 1
             entry.admitted.set_result(None)
 
-    def _has_room(self, place: Place, queue: _Queue, terms: ClassTerms) -> bool:
-        endpoints = self._directory.of_service(place.service, place.data_centres)
+    def _has_free_slot(
+        self, queue_key: QueueKey, queue: _Queue, policy: ClassPolicy
+    ) -> bool:
+        endpoints = self._directory.of_service(
+            queue_key.service, queue_key.data_centres
+        )
         if not endpoints:
-            return True  # it is refused at once where it would be sent
+            return True  # without endpoints, the forwarder refuses the request at once
         now = self._clock.monotonic()
-        places = sum(each.endpoint.slots - terms.reserved_above for each in endpoints)
-        others = sum(each.others_load(now) for each in endpoints)
-        own = max(queue.admitted, sum(each.in_flight for each in endpoints))
-        return own + others < max(places, 1)
+        usable_slot_count = sum(
+            each.endpoint.slots - policy.reserved_slot_count for each in endpoints
+        )
+        others_load = sum(each.others_load(now) for each in endpoints)
+        own_load = max(queue.admitted_count, sum(each.in_flight for each in endpoints))
+        return own_load + others_load < max(usable_slot_count, 1)
 
 
 def _refusal(reason: FailureReason, detail: str) -> NotRunError:
--- a/src/bankrudder/calls/_keys.py
+++ b/src/bankrudder/calls/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: their form, their age, and the fingerprint of a request."""
+"""Idempotency keys: format, age, record names, and the fingerprint of a request."""
 
 import uuid
 
@@ -10,18 +10,18 @@
 from bankrudder.world import CallerName, CallKey, DataClassName, PoolName
 
 KEY_VERSION = 7
-TIME_SHIFT = 80
-"""Bits of a UUID of version 7 below its time of minting."""
+TIMESTAMP_SHIFT_BITS = 80
+"""Number of bits below the millisecond timestamp in a UUID of version 7."""
 
 MS_PER_S = 1000
 
-CLOCK_BOUND_S = 5.0
-"""Most seconds by which the wall clocks of a host and of a caller may differ; the
-platform's own bound on the difference of two clocks."""
+MAX_CLOCK_SKEW_S = 5.0
+"""Largest difference between the wall clocks of a host and of a caller; the platform
+guarantees this bound for any two clocks."""
 
 
 class RequestIdentity(msgspec.Struct, frozen=True, array_like=True):
-    """What makes two requests the same."""
+    """The fields by which two requests count as the same."""
 
     caller: CallerName
     data_class: DataClassName
@@ -31,12 +31,12 @@
 
 
 def fingerprint_of(request: RequestIdentity) -> bytes:
-    """Return the 16-byte hash that a repeat of the same request shares."""
+    """Return the 16-byte hash of a request; a retry has the same hash."""
     return xxhash.xxh3_128_digest(msgspec.msgpack.encode(request))
 
 
 def minted_at(key: CallKey) -> float:
-    """Return the wall time in seconds at which `key` was minted.
+    """Return the wall time in seconds at which `key` was generated.
 
     Raises
     ------
@@ -45,42 +45,48 @@
     """
     if not key:
         raise InvalidError(
-            FailureReason.KEY_MISSING, "this pool needs a key", field="key"
+            FailureReason.KEY_MISSING,
+            "the pool requires an idempotency key",
+            field="key",
         )
-    return (_parse(key).int >> TIME_SHIFT) / MS_PER_S
+    return (_parse(key).int >> TIMESTAMP_SHIFT_BITS) / MS_PER_S
 
 
-def check_window(minted: float, now: float, retry_window_s: float) -> None:
-    """Check that a key minted at `minted` may still be used at wall time `now`.
+def check_retry_window(
+    key_timestamp_s: float, now: float, retry_window_s: float
+) -> None:
+    """Check that a key generated at `key_timestamp_s` is valid at wall time `now`.
 
     Raises
     ------
     InvalidError
-        If it was minted later than any clock within the bound could show.
+        If the timestamp is ahead of `now` by more than the largest clock skew.
     OutcomeUnknownError
-        If it is older than the retry window, when its record may be gone.
+        If the key is older than the retry window: its record may be removed.
     """
-    if minted > now + CLOCK_BOUND_S:
+    if key_timestamp_s > now + MAX_CLOCK_SKEW_S:
         raise InvalidError(
-            FailureReason.KEY_FROM_FUTURE, "the key is from the future", field="key"
+            FailureReason.KEY_FROM_FUTURE,
+            "the timestamp of the key is in the future",
+            field="key",
         )
-    if minted < now - retry_window_s:
+    if key_timestamp_s < now - retry_window_s:
         raise OutcomeUnknownError(
             FailureReason.KEY_EXPIRED, "the key is older than the retry window"
         )
 
 
 def record_name(caller: CallerName, key: CallKey) -> str:
-    """Return the name of a key's record; it begins with the key's time.
+    """Return the name of a key's record; it begins with the timestamp of the key.
 
-    A caller's keys are its own: another caller's equal key is another record.
+    Keys are scoped to a caller: equal keys of two callers have separate records.
     """
     scope = xxhash.xxh3_64_hexdigest(caller.encode())
     return f"{round(minted_at(key) * MS_PER_S):013d}.{scope}.{key}"
 
 
-def minted_in(name: str) -> float:
-    """Return the wall time in seconds that a record's name begins with."""
+def record_timestamp(name: str) -> float:
+    """Return the key's timestamp, in seconds, from the name of its record."""
     return int(name.partition(".")[0]) / MS_PER_S
 
 
--- a/src/bankrudder/calls/_once.py
+++ b/src/bankrudder/calls/_once.py
@@ -1,7 +1,8 @@
-"""Requests that run at most once, whatever is repeated where.
+"""At-most-once execution of requests, whichever host receives a retry.
 
-The record of the key is begun before the request is sent. So a repeat, at any host,
-finds it, and is given its answer, or is told that nobody knows what became of it.
+The record of the idempotency key is written before the request is sent. A retry at any
+host finds the record and gets the recorded answer, or an error that says that the
+outcome is unknown.
 """
 
 import asyncio
@@ -12,7 +13,7 @@
 import structlog
 import uuid_utils
 
-from bankrudder.calls._records import CallRecords, Kept
+from bankrudder.calls._records import CallRecords, StoredRecord
 from bankrudder.calls._values import Answer, CallRecord, RecordState
 from bankrudder.exceptions import (
     BankrudderError,
@@ -27,32 +28,33 @@
 from bankrudder.store import NotSettledError, RowVersion, StoreUnavailableError
 from bankrudder.world import Clock
 
-BEGIN_GIVE_UP_S = 1.0
-"""Time for which the beginning of a record is tried again: a caller waits for it."""
+BEGIN_TIMEOUT_S = 1.0
+"""Time limit for retries of a record's first write, for which the caller waits."""
 
 REPLY_MARGIN_S = 0.1
-"""Time kept for telling a caller that its request was not sent."""
+"""Time before the deadline that is reserved for replying to the caller that the request
+was not sent."""
 
 POLL_S = 0.1
-"""Pause between two looks at a key that another attempt is sending: twice a usual
-answer."""
+"""Pause between two reads of a record whose request another attempt is sending: twice
+the usual answer time."""
 
 STORE_RETRY_AFTER_S = 0.5
-"""When to come back while the store takes no record here; another host may reach it."""
+"""Retry delay while this host cannot reach the store; another host may reach it."""
 
-LATE_WRITE_S = 10.0
-"""Time for which a record is looked for whose beginning is not settled: the store may
-carry a write out some seconds after it gave no answer."""
+LATE_WRITE_WINDOW_S = 10.0
+"""Time for which a record is looked for if the outcome of its first write is unknown:
+the store may apply a write some seconds after it failed to reply."""
 
-LATE_PAUSE_S = 1.0
+LATE_WRITE_POLL_S = 1.0
 
-Run = Callable[[], Awaitable[Answer]]
+RequestSender = Callable[[], Awaitable[Answer]]
 
 _log = structlog.get_logger("calls")
 
 
 class OnceRunner:
-    """Runs requests under records of their keys."""
+    """Runs requests whose idempotency keys are recorded."""
 
     def __init__(self, records: CallRecords, presence: Presence, clock: Clock):
         self._records = records
@@ -61,9 +63,9 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def run(
-        self, name: str, fingerprint: bytes, deadline: float, run: Run
+        self, name: str, fingerprint: bytes, deadline: float, run: RequestSender
     ) -> tuple[Answer, bool]:
-        """Return the answer to a key, and whether it was recorded before.
+        """Return the answer for a key, and whether it comes from the record.
 
         Parameters
         ----------
@@ -72,12 +74,13 @@
         deadline : float
             Monotonic time after which the caller no longer waits.
         run : callable
-            Sends the request. Its `NotRunError` means that it surely did not run.
+            Sends the request. A `NotRunError` means that the request certainly did
+            not run.
 
         Raises
         ------
         BankrudderError
-            What became of the request, or why it was not sent.
+            If there is no answer; the type of the error tells what is known.
         """
         while True:
             record = CallRecord(
@@ -86,77 +89,84 @@
                 self._presence.lifetime,
                 str(uuid_utils.uuid4()),
             )
-            kept = await self._begin(name, record, deadline)
-            if kept.is_ours:
-                return await self._send(name, kept, run), False
-            if kept.record.fingerprint != fingerprint:
+            stored = await self._begin(name, record, deadline)
+            if stored.is_ours:
+                return await self._send(name, stored, run), False
+            if stored.record.fingerprint != fingerprint:
                 raise InvalidError(
                     FailureReason.KEY_REUSED,
-                    "the key stands for another request",
+                    "the key was already used for a different request",
                     field="key",
                 )
-            answer = await self._result_of_other(name, kept, deadline)
+            answer = await self._result_of_other_attempt(name, stored, deadline)
             if answer is not None:
                 return answer, True
 
-    async def _begin(self, name: str, record: CallRecord, deadline: float) -> Kept:
+    async def _begin(
+        self, name: str, record: CallRecord, deadline: float
+    ) -> StoredRecord:
         left_s = deadline - self._clock.monotonic() - REPLY_MARGIN_S
         try:
-            # A call to a store that is away waits for its return, however long.
+            # The store client waits for an unreachable store without a time limit.
             async with asyncio.timeout(max(left_s, 0.0)):
                 return await self._records.begin(
-                    name, record, min(BEGIN_GIVE_UP_S, left_s)
+                    name, record, min(BEGIN_TIMEOUT_S, left_s)
                 )
         except StoreUnavailableError as error:
-            raise _not_recorded(error.trouble.value) from None
+            raise _key_not_recorded(error.trouble.value) from None
         except (NotSettledError, TimeoutError):
-            # It will not be sent, so a record that appears yet must go again.
-            self._spawn(self._withdraw_late(name, record))
-            raise _not_recorded("no reply") from None
+            # The request is not sent, so a late write of the record must be undone.
+            self._spawn(self._withdraw_late_write(name, record))
+            raise _key_not_recorded("the store gave no reply") from None
 
-    async def _send(self, name: str, kept: Kept, run: Run) -> Answer:
+    async def _send(
+        self, name: str, stored: StoredRecord, run: RequestSender
+    ) -> Answer:
         try:
             answer = await run()
         except NotRunError:
-            await self._withdraw(name, kept.version)
+            await self._withdraw(name, stored.version)
             raise
         except FailedError as error:
             await self._finish(
-                name, kept, RecordState.FAILED, detail=error.failure.detail
+                name, stored, RecordState.FAILED, detail=error.failure.detail
             )
             raise
         except BankrudderError as error:
             await self._finish(
-                name, kept, RecordState.UNKNOWN, detail=error.failure.detail
+                name, stored, RecordState.UNKNOWN, detail=error.failure.detail
             )
             raise
         except asyncio.CancelledError:
-            # The caller left while it may have run: a repeat must be told so.
+            # The request may have run, so a retry must get an unknown outcome.
             finishing = self._finish(
-                name, kept, RecordState.UNKNOWN, detail="the caller left"
+                name,
+                stored,
+                RecordState.UNKNOWN,
+                detail="the call was cancelled",
             )
             self._spawn(finishing)
             raise
-        # A repeat may come as soon as the caller has the answer, so it is kept first.
+        # Recorded first, because a retry may come as soon as the caller has the answer.
         await self._finish(
             name,
-            kept,
+            stored,
             RecordState.ANSWERED,
             body=answer.body,
             endpoint=answer.endpoint,
         )
         return answer
 
-    async def _result_of_other(
-        self, name: str, kept: Kept, deadline: float
+    async def _result_of_other_attempt(
+        self, name: str, stored: StoredRecord, deadline: float
     ) -> Answer | None:
-        """Return what another attempt made of a key; None if it was withdrawn."""
-        found: Kept | None = kept
+        """Return the answer of another attempt; None if its record was withdrawn."""
+        found: StoredRecord | None = stored
         while found is not None:
             record = found.record
             match record.state:
                 case RecordState.ANSWERED:
-                    return await self._replayed(record)
+                    return await self._recorded_answer(record)
                 case RecordState.FAILED:
                     raise FailedError(FailureReason.ENDPOINT_ERROR, record.detail)
                 case RecordState.UNKNOWN:
@@ -165,42 +175,45 @@
                     )
             if not self._presence.is_alive(record.host, record.lifetime):
                 raise OutcomeUnknownError(
-                    FailureReason.HOST_LOST, f"{record.host}, which sent it, ended"
+                    FailureReason.HOST_LOST,
+                    f"host {record.host} stopped while it was sending the request",
                 )
             if self._clock.monotonic() + POLL_S >= deadline:
                 raise ExpiredError(
-                    FailureReason.DEADLINE_PASSED, "another attempt is still running"
+                    FailureReason.DEADLINE_PASSED,
+                    "another attempt with the same key is still running",
                 )
             await asyncio.sleep(POLL_S)
             found = await self._read(name)
         return None
 
-    async def _read(self, name: str) -> Kept | None:
+    async def _read(self, name: str) -> StoredRecord | None:
         try:
             return await self._records.read(name)
         except StoreUnavailableError as error:
-            raise _not_known(error.trouble.value) from None
+            raise _record_unreadable(error.trouble.value) from None
 
-    async def _replayed(self, record: CallRecord) -> Answer:
+    async def _recorded_answer(self, record: CallRecord) -> Answer:
         try:
             body = await self._records.body_of(record)
         except StoreUnavailableError as error:
-            raise _not_known(error.trouble.value) from None
+            raise _record_unreadable(error.trouble.value) from None
         if body is None:
             raise OutcomeUnknownError(
-                FailureReason.KEY_EXPIRED, "it ran, and its answer is no longer kept"
+                FailureReason.KEY_EXPIRED,
+                "the request ran, but its answer is no longer stored",
             )
         return Answer(body, record.endpoint)
 
     async def _finish(
-        self, name: str, kept: Kept, state: RecordState, **what: Any
+        self, name: str, stored: StoredRecord, state: RecordState, **outcome_fields: Any
     ) -> None:
-        record = msgspec.structs.replace(kept.record, state=state, **what)
+        record = msgspec.structs.replace(stored.record, state=state, **outcome_fields)
         try:
-            await self._records.finish(name, kept.version, record)
+            await self._records.finish(name, stored.version, record)
         except (StoreUnavailableError, NotSettledError):
-            # A repeat will be told that nobody knows, which is true for it.
-            _log.warning("calls: outcome not kept", record=name, state=state.value)
+            # A retry then gets an unknown outcome, which is a correct reply.
+            _log.warning("calls: outcome not recorded", record=name, state=state.value)
 
     async def _withdraw(self, name: str, version: RowVersion) -> None:
         try:
@@ -208,18 +221,18 @@
         except (StoreUnavailableError, NotSettledError):
             _log.warning("calls: record not withdrawn", record=name)
 
-    async def _withdraw_late(self, name: str, record: CallRecord) -> None:
-        """Remove a record that this attempt may have begun, once it appears."""
-        until = self._clock.monotonic() + LATE_WRITE_S
+    async def _withdraw_late_write(self, name: str, record: CallRecord) -> None:
+        """Remove the record of this attempt if the store applies the write late."""
+        until = self._clock.monotonic() + LATE_WRITE_WINDOW_S
         while self._clock.monotonic() < until:
-            await asyncio.sleep(LATE_PAUSE_S)
+            await asyncio.sleep(LATE_WRITE_POLL_S)
             try:
-                kept = await self._records.read(name)
+                stored = await self._records.read(name)
             except StoreUnavailableError:
-                continue  # looked for again after the pause
-            if kept is not None:
-                if kept.record.attempt == record.attempt:
-                    await self._withdraw(name, kept.version)
+                continue  # read again after the pause
+            if stored is not None:
+                if stored.record.attempt == record.attempt:
+                    await self._withdraw(name, stored.version)
                 return
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -228,17 +241,17 @@
         task.add_done_callback(self._background.discard)
 
 
-def _not_recorded(trouble: str) -> NotRunError:
+def _key_not_recorded(trouble: str) -> NotRunError:
     return NotRunError(
         FailureReason.STORE_UNAVAILABLE,
-        f"the key cannot be recorded: {trouble}",
+        f"the idempotency key cannot be recorded: {trouble}",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
-def _not_known(trouble: str) -> OutcomeUnknownError:
+def _record_unreadable(trouble: str) -> OutcomeUnknownError:
     return OutcomeUnknownError(
         FailureReason.STORE_UNAVAILABLE,
-        f"the key's record cannot be read: {trouble}",
+        f"the record of the idempotency key cannot be read: {trouble}",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
--- a/src/bankrudder/calls/_records.py
+++ b/src/bankrudder/calls/_records.py
@@ -1,8 +1,9 @@
-"""Records of keys in the store, which let a request run at most once.
+"""Records of idempotency keys in the store, which let a request run at most once.
 
-A record lies in table ``calls``, in a part of its own. It is begun under the condition
-that there is none, before the request is sent; whoever finds one does not send. Only
-the attempt that began it changes it, under the condition that it did not change.
+Each record is a row in its own part of table ``calls``. It is created before the
+request is sent, on the condition that there is none; an attempt that finds a record
+does not send. Only the attempt that created a record changes it, on the condition that
+the row version is unchanged.
 """
 
 from collections.abc import Callable
@@ -30,19 +31,20 @@
 CALLS_TABLE = "calls"
 
 MAX_INLINE_BYTES = 32_000
-"""Longer answers go to an object: a row holds 64 KB at most."""
+"""Longest answer that is stored in the row, which holds 64 KB at most; longer answers
+are stored as objects."""
 
-FINISH_GIVE_UP_S = 1.0
-"""Time for which the end of a record is tried again: an answer that is there is not
-held back for longer."""
+FINISH_TIMEOUT_S = 1.0
+"""Time limit for retries of a record's last write: an available answer is not delayed
+for longer."""
 
 _RECORD_KEY = "record"
 
 _log = structlog.get_logger("calls")
 
 
-class Kept(msgspec.Struct, frozen=True):
-    """A record that is there; ``is_ours`` tells whether this attempt began it."""
+class StoredRecord(msgspec.Struct, frozen=True):
+    """A record in the store; ``is_ours`` tells whether this attempt created it."""
 
     record: CallRecord
     version: RowVersion
@@ -50,26 +52,28 @@
 
 
 class CallRecords:
-    """Reads and writes records; decides nothing."""
+    """Reads and writes call records."""
 
     def __init__(self, store: Store, clock: Clock):
         self._store = store
         self._clock = clock
 
-    async def begin(self, name: str, record: CallRecord, give_up_s: float) -> Kept:
-        """Begin a record, or return the one that is there.
+    async def begin(
+        self, name: str, record: CallRecord, retry_limit_s: float
+    ) -> StoredRecord:
+        """Create a record, or return the existing one.
 
         Parameters
         ----------
         give_up_s : float
-            Seconds after which it is not tried again.
+            Seconds after which a failed write is not retried.
 
         Raises
         ------
         StoreUnavailableError
-            If none was begun and none will be.
+            If the record was not created and will not be.
         NotSettledError
-            If that is not known.
+            If it is unknown whether the record was created.
         """
         value = msgspec.msgpack.encode(record)
         transaction = Transaction(
@@ -78,23 +82,23 @@
         outcome = await commit_settled(
             self._store,
             transaction,
-            _wrote(value),
+            _is_own_write(value),
             self._clock,
-            give_up_s,
+            retry_limit_s,
         )
         match outcome:
             case Committed(version=version):
-                return Kept(record, version, True)
+                return StoredRecord(record, version, True)
             case Conflict(rows=(row, *_)):
-                kept = msgspec.msgpack.decode(row.value, type=CallRecord)
-                return Kept(kept, row.version, False)
+                stored = msgspec.msgpack.decode(row.value, type=CallRecord)
+                return StoredRecord(stored, row.version, False)
             case Conflict():
-                # It was withdrawn while this was on its way.
-                return await self.begin(name, record, give_up_s)
+                # The existing record was withdrawn during this commit.
+                return await self.begin(name, record, retry_limit_s)
             case NotCommitted(trouble=trouble):
                 raise StoreUnavailableError(trouble)
 
-    async def read(self, name: str) -> Kept | None:
+    async def read(self, name: str) -> StoredRecord | None:
         """Return a record, None if there is none.
 
         Raises
@@ -107,49 +111,53 @@
             return None
         row = page.rows[0]
         record = msgspec.msgpack.decode(row.value, type=CallRecord)
-        return Kept(record, row.version, False)
+        return StoredRecord(record, row.version, False)
 
     async def finish(self, name: str, version: RowVersion, record: CallRecord) -> None:
-        """Keep what became of a key.
+        """Record the outcome of a request.
 
         Raises
         ------
         StoreUnavailableError, NotSettledError
-            If it is not kept, or perhaps.
+            If the outcome was not recorded, or if that is unknown.
         """
-        record = await self._with_long_body_outside(name, record)
+        record = await self._move_long_body_to_object(name, record)
         value = msgspec.msgpack.encode(record)
         transaction = Transaction(
             (Expectation(_key(name), version),), (Put(_key(name), value),)
         )
         outcome = await commit_settled(
-            self._store, transaction, _wrote(value), self._clock, FINISH_GIVE_UP_S
+            self._store,
+            transaction,
+            _is_own_write(value),
+            self._clock,
+            FINISH_TIMEOUT_S,
         )
         match outcome:
             case NotCommitted(trouble=trouble):
                 raise StoreUnavailableError(trouble)
             case Conflict():
-                _log.error("calls: record changed by another", record=name)
+                _log.error("calls: record changed by another writer", record=name)
 
     async def withdraw(self, name: str, version: RowVersion) -> None:
-        """Remove a record whose request surely did not run.
+        """Remove a record whose request certainly did not run.
 
         Raises
         ------
         StoreUnavailableError, NotSettledError
-            If it is still there, or perhaps.
+            If the record was not removed, or if that is unknown.
         """
         transaction = Transaction(
             (Expectation(_key(name), version),), (), (_key(name),)
         )
         outcome = await commit_settled(
-            self._store, transaction, lambda _: False, self._clock, FINISH_GIVE_UP_S
+            self._store, transaction, lambda _: False, self._clock, FINISH_TIMEOUT_S
         )
         if isinstance(outcome, NotCommitted):
             raise StoreUnavailableError(outcome.trouble)
 
     async def body_of(self, record: CallRecord) -> bytes | None:
-        """Return the recorded answer, None if it is no longer kept."""
+        """Return the recorded answer, None if it is no longer stored."""
         if not record.object_name:
             return record.body
         return await self._store.get_object(record.object_name)
@@ -158,16 +166,16 @@
         """Return the names of all records."""
         return await self._store.parts(CALLS_TABLE)
 
-    async def forget(self, name: str) -> None:
-        """Remove a record and its answer, whatever they are."""
-        kept = await self.read(name)
-        if kept is None:
+    async def delete(self, name: str) -> None:
+        """Remove a record and its answer unconditionally."""
+        stored = await self.read(name)
+        if stored is None:
             return
-        if kept.record.object_name:
-            await self._store.drop_object(kept.record.object_name)
+        if stored.record.object_name:
+            await self._store.drop_object(stored.record.object_name)
         await self._store.commit(Transaction(removals=(_key(name),)))
 
-    async def _with_long_body_outside(
+    async def _move_long_body_to_object(
         self, name: str, record: CallRecord
     ) -> CallRecord:
         if len(record.body) <= MAX_INLINE_BYTES:
@@ -183,6 +191,6 @@
     return RowKey(CALLS_TABLE, name, _RECORD_KEY)
 
 
-def _wrote(value: bytes) -> Callable[[Conflict], bool]:
-    """Return what tells whether a conflict shows this very write: it is unique."""
+def _is_own_write(value: bytes) -> Callable[[Conflict], bool]:
+    """Return a check whether a conflict comes from this write: its value is unique."""
     return lambda conflict: conflict.holds(value)
--- a/src/bankrudder/calls/_service.py
+++ b/src/bankrudder/calls/_service.py
@@ -1,14 +1,14 @@
-"""Calls: checked, admitted, sent where their data may be, answered whole."""
+"""Service for calls: checks, admits and forwards them, and yields their answers."""
 
 from collections.abc import AsyncGenerator
 
 import structlog
 import uuid_utils
 
-from bankrudder.calls._admission import ClassAdmission, ClassTerms, Place
+from bankrudder.calls._admission import ClassAdmission, ClassPolicy, QueueKey
 from bankrudder.calls._keys import (
     RequestIdentity,
-    check_window,
+    check_retry_window,
     fingerprint_of,
     minted_at,
     record_name,
@@ -41,10 +41,11 @@
 from bankrudder.world import CallerClass, Clock, ModelVersion, Pool, PoolKind
 
 MAX_PAYLOAD_BYTES = 4 << 20
-"""Largest payload that is taken."""
+"""Largest payload that is accepted."""
 
 CHUNK_BYTES = 64 << 10
-"""Largest chunk of an answer; some ten of them fill a connection's window."""
+"""Largest chunk of an answer; about ten of them fill the flow-control window of a
+connection."""
 
 _log = structlog.get_logger("calls")
 
@@ -73,61 +74,64 @@
     async def call(
         self, order: CallOrder
     ) -> AsyncGenerator[AnswerChunk | AnswerEnd, None]:
-        """Yield the answer in chunks, and the mark that it is whole.
+        """Yield the answer in chunks, then the `AnswerEnd`.
 
         Raises
         ------
         BankrudderError
-            If there is no whole answer; its kind says what is known.
+            If there is no complete answer; the kind of the failure tells what is
+            known about the request.
         """
         index = self._configuration.index
         pool = index.pool(order.pool)
-        self._check(order)
+        self._check_order(order)
         data_centres = index.allowed(order.data_class)
         self._placement.check(data_centres)
         route = pool_route(pool, tuple(sorted(data_centres)))
-        own = index.caller_class(order.caller.caller_class)
-        terms = ClassTerms.from_config(own, index.configuration.caller_classes)
-        request = self._request(order, pool, own)
+        own_class = index.caller_class(order.caller.caller_class)
+        policy = ClassPolicy.from_config(own_class, index.configuration.caller_classes)
+        request = self._build_request(order, pool, own_class)
         if pool.kind is PoolKind.ENGINE:
-            self._check_crashes(request)
-            place = Place(route.services[0].service, route.data_centres)
-            async with self._admission.admitted(place, terms, order.deadline):
-                async for event in self._generated(request, route):
+            self._refuse_crashing_request(request)
+            queue_key = QueueKey(route.services[0].service, route.data_centres)
+            async with self._admission.admitted(queue_key, policy, order.deadline):
+                async for event in self._stream_answer(request, route):
                     yield event
             return
-        answer, is_replayed = await self._answer(order, request, pool, route, terms)
+        answer, is_replayed = await self._service_answer(
+            order, request, pool, route, policy
+        )
         for chunk in _chunks(answer.body):
             yield chunk
         yield AnswerEnd(len(answer.body), (), answer.endpoint, is_replayed)
 
-    def _check(self, order: CallOrder) -> None:
+    def _check_order(self, order: CallOrder) -> None:
         if order.data_class not in order.caller.data_classes:
             raise InvalidError(
                 FailureReason.NOT_ALLOWED,
-                f"{order.caller.name} may not use {order.data_class}",
+                f"caller {order.caller.name} may not use data class {order.data_class}",
                 field="data_class",
             )
         if len(order.payload) > MAX_PAYLOAD_BYTES:
             raise InvalidError(
                 FailureReason.TOO_LARGE,
-                f"{len(order.payload)} bytes: allowed are {MAX_PAYLOAD_BYTES}",
+                f"payload is {len(order.payload)} bytes, limit {MAX_PAYLOAD_BYTES}",
                 field="payload",
             )
 
-    def _check_crashes(self, request: IncomingRequest) -> None:
-        """Refuse what would be refused anyway before it waits for a place."""
+    def _refuse_crashing_request(self, request: IncomingRequest) -> None:
+        """Refuse a request that crashed endpoints before it waits for a slot."""
         refusal = self._forwarder.refusal(request)
         if refusal is not None:
             raise _error_of(refusal)
 
-    def _request(
-        self, order: CallOrder, pool: Pool, own: CallerClass
+    def _build_request(
+        self, order: CallOrder, pool: Pool, own_class: CallerClass
     ) -> IncomingRequest:
         generation = None
         if pool.kind is PoolKind.ENGINE:
             generation = Generation(
-                ModelName(pool.model), order.max_tokens, own.priority
+                ModelName(pool.model), order.max_tokens, own_class.priority
             )
         path = pool.path + order.method
         return IncomingRequest(
@@ -146,27 +150,29 @@
             workspace=order.caller.workspace,
         )
 
-    async def _answer(
+    async def _service_answer(
         self,
         order: CallOrder,
         request: IncomingRequest,
         pool: Pool,
         route: Route,
-        terms: ClassTerms,
+        policy: ClassPolicy,
     ) -> tuple[Answer, bool]:
-        place = Place(route.services[0].service, route.data_centres)
+        queue_key = QueueKey(route.services[0].service, route.data_centres)
 
         async def run() -> Answer:
-            # Here, and not before: a key that is recorded gets what is recorded.
-            self._check_crashes(request)
-            async with self._admission.admitted(place, terms, order.deadline):
+            # Not checked earlier: a recorded key must get its recorded outcome.
+            self._refuse_crashing_request(request)
+            async with self._admission.admitted(queue_key, policy, order.deadline):
                 reply = await self._forwarder.forward(request, route)
             return _answer_of(reply)
 
         if pool.contract.idempotent:
             return await run(), False
-        minted = minted_at(order.key)
-        check_window(minted, self._clock.wall(), pool.contract.retry_window_s)
+        key_timestamp_s = minted_at(order.key)
+        check_retry_window(
+            key_timestamp_s, self._clock.wall(), pool.contract.retry_window_s
+        )
         identity = RequestIdentity(
             order.caller.name, order.data_class, order.pool, order.method, order.payload
         )
@@ -178,7 +184,7 @@
             _log.info("calls: answer replayed", call=order.key, pool=order.pool)
         return answer, is_replayed
 
-    async def _generated(
+    async def _stream_answer(
         self, request: IncomingRequest, route: Route
     ) -> AsyncGenerator[AnswerChunk | AnswerEnd, None]:
         started = await self._streams.forward(request, route, route.services[0].service)
@@ -221,18 +227,19 @@
     match reply:
         case Relayed(status=status):
             return FailedError(
-                FailureReason.ENDPOINT_ERROR, f"the endpoint answered {status}"
+                FailureReason.ENDPOINT_ERROR,
+                f"the endpoint answered with status {status}",
             )
         case NotRun(reason=RejectReason.FULL, retry_after_s=seconds):
             return NotRunError(
                 FailureReason.OVERLOADED,
-                "all endpoints are full",
+                "all endpoints are at capacity",
                 retry_after_s=seconds,
             )
         case NotRun(reason=RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
             return NotRunError(
                 FailureReason.CRASHES_ENDPOINTS,
-                "endpoints ended under the same request before",
+                "endpoints crashed on the same request before",
                 retry_after_s=seconds,
             )
         case NotRun(reason=reason, retry_after_s=seconds):
@@ -240,10 +247,12 @@
                 FailureReason.NO_ENDPOINT, reason.value, retry_after_s=seconds
             )
         case Unanswered(is_timeout=True):
-            return ExpiredError(FailureReason.DEADLINE_PASSED, "no answer in time")
+            return ExpiredError(
+                FailureReason.DEADLINE_PASSED, "no answer before the deadline"
+            )
         case Unanswered():
             return OutcomeUnknownError(
-                FailureReason.ENDPOINT_TIMEOUT, "endpoints gave no answer"
+                FailureReason.ENDPOINT_TIMEOUT, "the endpoints gave no answer"
             )
         case _:
-            return OutcomeUnknownError(FailureReason.INTERNAL, "no answer")
+            return OutcomeUnknownError(FailureReason.INTERNAL, "no answer was received")
--- a/src/bankrudder/calls/_values.py
+++ b/src/bankrudder/calls/_values.py
@@ -1,4 +1,4 @@
-"""Orders and answers of calls."""
+"""Values of calls: parameters, answers, and records of idempotency keys."""
 
 from enum import Enum
 
@@ -18,16 +18,16 @@
 
 
 class CallOrder(msgspec.Struct, frozen=True):
-    """What a caller asks for.
+    """Parameters of a call.
 
     Attributes
     ----------
     method : str
-        Method of a plain service, empty for an engine.
+        Method of a service pool, empty for an engine pool.
     key : CallKey
         Idempotency key, `NO_KEY` if the caller sent none.
     max_tokens : int
-        Most tokens to generate, for an engine; 0 for the engine's own bound.
+        Most tokens that an engine generates; 0 for the limit of the engine.
     deadline : float
         Monotonic time after which the caller no longer waits.
     trace : str
@@ -46,25 +46,25 @@
 
 
 class AnswerChunk(msgspec.Struct, frozen=True):
-    """A part of an answer; ``offset`` is that of its first byte in the whole."""
+    """A part of an answer; ``offset`` is the position of its first byte."""
 
     offset: int
     data: bytes
 
 
 class AnswerEnd(msgspec.Struct, frozen=True):
-    """The mark that an answer is whole.
+    """The end of a complete answer.
 
     Attributes
     ----------
     length : int
-        Bytes of the whole answer.
+        Length of the answer in bytes.
     versions : tuple of ModelVersion
-        Weight versions that produced it, in order of first use.
+        Weight versions that generated the answer, in order of first use.
     endpoint : str
-        The endpoint that made it, empty for a stream that went on elsewhere.
+        The endpoint that answered, empty for a stream.
     replayed : bool
-        Whether an earlier request with the same key had produced it.
+        Whether the answer was recorded by an earlier request with the same key.
     """
 
     length: int
@@ -74,41 +74,41 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of a plain service."""
+    """A complete answer of a service pool."""
 
     body: bytes
     endpoint: str = ""
 
 
 class RecordState(Enum):
-    """What became of a key."""
+    """State of a request whose idempotency key is recorded."""
 
     RUNNING = "running"
-    """It is being sent, or was when its host ended."""
+    """The request is being sent, or was being sent when its host stopped."""
 
     ANSWERED = "answered"
     FAILED = "failed"
     """The endpoint answered with an error."""
 
     UNKNOWN = "unknown"
-    """It was sent, and no answer came."""
+    """The request was sent, and its outcome is not known."""
 
 
 class CallRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What is kept of a key.
+    """Stored record of an idempotency key.
 
     Attributes
     ----------
     fingerprint : bytes
-        Hash of the request, so that a key is not used for another one.
+        Hash of the request; a different request with the same key is refused.
     host, lifetime
-        Which run of which host sends it.
+        The host that sends the request, and the lifetime of its process.
     attempt : str
-        Unique for each time that a record is begun.
+        Unique identifier of the attempt that created the record.
     body : bytes
-        The answer, unless it is long: then it is the object ``object_name``.
+        The answer; a long one is stored as the object ``object_name`` instead.
     detail : str
-        Why there is no answer.
+        Error text if there is no answer.
     """
 
     fingerprint: bytes
--- a/tests/calls/conftest.py
+++ b/tests/calls/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests of calls: the stand-in of the store, endpoints, presence."""
+"""Fixtures for the tests of calls: the fake store, call records, and endpoints."""
 
 import pytest
 
@@ -17,6 +17,6 @@
 def directory(hand_clock):
     """Two endpoints of one service, with two slots each, in two data centres."""
     directory = EndpointDirectory("north", hand_clock)
-    for name, place in (("e1", "north"), ("e2", "south")):
-        directory.put(Endpoint(EndpointId(name), "desk", "127.0.0.1:1", place, 2))
+    for name, data_centre in (("e1", "north"), ("e2", "south")):
+        directory.put(Endpoint(EndpointId(name), "desk", "127.0.0.1:1", data_centre, 2))
     return directory
--- a/tests/calls/test_once.py
+++ b/tests/calls/test_once.py
@@ -1,4 +1,4 @@
-"""A request whose key cannot be recorded is refused while its caller still waits."""
+"""A request whose key cannot be recorded is refused before its deadline."""
 
 import asyncio
 import time
@@ -12,36 +12,36 @@
 
 
 class HangingRecords:
-    """Records whose store answers nothing, and waits for its return for long."""
+    """Records whose store does not reply for 30 s."""
 
-    async def begin(self, name, record, give_up_s):
+    async def begin(self, name, record, retry_limit_s):
         await asyncio.sleep(30)
 
     async def read(self, name):
         return None
 
 
-class OwnHost:
+class FakePresence:
     host = "h"
     lifetime = "l"
 
 
-async def never(*_):
-    raise AssertionError("sent without a record")
+async def fail_if_sent(*_):
+    raise AssertionError("the request was sent without a record")
 
 
-async def test_a_store_that_hangs_does_not_outlast_the_caller():
+async def test_a_hanging_store_does_not_delay_the_refusal_past_the_deadline():
     clock = SystemClock()
-    runner = OnceRunner(HangingRecords(), OwnHost(), clock)
+    runner = OnceRunner(HangingRecords(), FakePresence(), clock)
     began = time.monotonic()
     with pytest.raises(NotRunError) as caught:
-        await runner.run("k", b"f", clock.monotonic() + 0.4, never)
+        await runner.run("k", b"f", clock.monotonic() + 0.4, fail_if_sent)
     assert caught.value.failure.reason is FailureReason.STORE_UNAVAILABLE
     assert time.monotonic() - began < 0.4
 
 
-async def test_a_caller_with_hardly_any_time_left_is_refused_at_once():
+async def test_a_request_close_to_its_deadline_is_refused():
     clock = SystemClock()
-    runner = OnceRunner(HangingRecords(), OwnHost(), clock)
+    runner = OnceRunner(HangingRecords(), FakePresence(), clock)
     with pytest.raises(NotRunError):
-        await runner.run("k", b"f", clock.monotonic() + 0.05, never)
+        await runner.run("k", b"f", clock.monotonic() + 0.05, fail_if_sent)
--- a/tests/calls/test_records.py
+++ b/tests/calls/test_records.py
@@ -1,4 +1,4 @@
-"""Records of keys: begun once, and gone when they are of no more use."""
+"""Records of idempotency keys: creation, completion, withdrawal and removal."""
 
 import time
 
@@ -6,7 +6,7 @@
 import pytest
 
 from bankrudder.calls import CallCleaner
-from bankrudder.calls._keys import minted_in, record_name
+from bankrudder.calls._keys import record_name, record_timestamp
 from bankrudder.calls._values import CallRecord, RecordState
 from bankrudder.client import new_key
 from bankrudder.world import SystemClock
@@ -15,11 +15,11 @@
 NAME = record_name("broker", new_key())
 
 
-class HeldLease:
+class ValidLease:
     is_valid = True
 
 
-async def test_one_of_two_begins(records):
+async def test_only_one_of_two_attempts_creates_the_record(records):
     first = await records.begin(NAME, RECORD, 1.0)
     other = msgspec.structs.replace(RECORD, attempt="attempt-2")
     second = await records.begin(NAME, other, 1.0)
@@ -28,42 +28,46 @@
 
 
 @pytest.mark.parametrize("attribute", ["lose_replies", "delay_commits"])
-async def test_a_beginning_whose_reply_is_lost_is_still_ours(records, gate, attribute):
+async def test_a_record_is_ours_if_the_reply_to_its_creation_is_lost(
+    records, gate, attribute
+):
     setattr(gate, attribute, 1)
     assert (await records.begin(NAME, RECORD, 2.0)).is_ours
 
 
-async def test_a_late_end_of_a_withdrawn_record_changes_nothing(records, rows):
-    kept = await records.begin(NAME, RECORD, 1.0)
-    await records.withdraw(NAME, kept.version)
+async def test_finishing_a_withdrawn_record_does_not_change_its_successor(
+    records, rows
+):
+    stored = await records.begin(NAME, RECORD, 1.0)
+    await records.withdraw(NAME, stored.version)
     again = msgspec.structs.replace(RECORD, attempt="attempt-2")
     await records.begin(NAME, again, 1.0)
     answered = msgspec.structs.replace(RECORD, state=RecordState.ANSWERED)
-    await records.finish(NAME, kept.version, answered)
+    await records.finish(NAME, stored.version, answered)
     assert (await records.read(NAME)).record == again
 
 
-async def test_a_long_answer_is_kept_and_forgotten_with_its_record(records, rows):
-    kept = await records.begin(NAME, RECORD, 1.0)
+async def test_a_long_answer_is_stored_and_deleted_with_its_record(records, rows):
+    stored = await records.begin(NAME, RECORD, 1.0)
     long = msgspec.structs.replace(
         RECORD, state=RecordState.ANSWERED, body=bytes(50_000)
     )
-    await records.finish(NAME, kept.version, long)
+    await records.finish(NAME, stored.version, long)
     record = (await records.read(NAME)).record
     assert record.body == b""
     assert await records.body_of(record) == bytes(50_000)
-    await records.forget(NAME)
+    await records.delete(NAME)
     assert (rows.rows, rows.objects) == ({}, {})
 
 
-async def test_records_go_after_their_window_and_not_before(records, rows):
+async def test_only_records_older_than_the_retry_window_are_removed(records, rows):
     old = record_name("broker", "00000001-0000-7000-8000-000000000000")
     for name in (old, NAME):
         await records.begin(name, RECORD, 1.0)
-    cleaner = CallCleaner(records, HeldLease(), lambda: 60.0, SystemClock())
+    cleaner = CallCleaner(records, ValidLease(), lambda: 60.0, SystemClock())
     await cleaner.clean()
     assert await records.names() == (NAME,)
 
 
-def test_a_name_tells_when_its_key_was_minted():
-    assert abs(minted_in(NAME) - time.time()) < 60.0
+def test_a_record_name_contains_the_timestamp_of_its_key():
+    assert abs(record_timestamp(NAME) - time.time()) < 60.0
