--- a/src/bankrudder/calls/_admission.py
+++ b/src/bankrudder/calls/_admission.py
@@ -194,9 +194,9 @@
         usable_slot_count = sum(
             each.endpoint.slots - policy.reserved_slot_count for each in endpoints
         )
-        others_load = sum(each.others_load(now) for each in endpoints)
+        other_hosts_load = sum(each.others_load(now) for each in endpoints)
         own_load = max(queue.admitted_count, sum(each.in_flight for each in endpoints))
-        return own_load + others_load < max(usable_slot_count, 1)
+        return own_load + other_hosts_load < max(usable_slot_count, 1)
 
 
 def _refusal(reason: FailureReason, detail: str) -> NotRunError:
--- a/src/bankrudder/config/__init__.py
+++ b/src/bankrudder/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: checking it, looking it up, applying it, what it means for routes."""
+"""Configuration: decoding, checks, look-ups, distribution to hosts, and routes."""
 
 from bankrudder.config._check import Finding, check, findings
 from bankrudder.config._decode import address_error, decode_document, shown
--- a/src/bankrudder/config/_decode.py
+++ b/src/bankrudder/config/_decode.py
@@ -1,4 +1,4 @@
-"""Decoding of JSON documents, with errors that name field, value and bounds."""
+"""Decoding of JSON documents, with errors that name the field and its wrong value."""
 
 import re
 from collections.abc import Iterator
@@ -11,14 +11,14 @@
 from bankrudder.exceptions import UNDECODABLE, InvalidError
 from bankrudder.failures import FailureReason
 
-MAX_SHOWN = 60
-"""Longest part of a wrong value that an error quotes, in characters."""
+MAX_SHOWN_CHARS = 60
+"""Longest excerpt of a wrong value that an error quotes."""
 
 MAX_PORT = 65535
 
 _AT_PATH = re.compile(r"^(?P<what>.*) - at `\$(?P<path>.*)`$", re.DOTALL)
-_NAMED_FIELD = re.compile(r"(?:unknown|required) field `(?P<name>[^`]*)`")
-_STEP = re.compile(r"\.(?P<name>[^.\[]+)|\[(?P<index>\d+)\]")
+_FIELD_NAME = re.compile(r"(?:unknown|required) field `(?P<name>[^`]*)`")
+_PATH_STEP = re.compile(r"\.(?P<name>[^.\[]+)|\[(?P<index>\d+)\]")
 
 ValueT = TypeVar("ValueT")
 
@@ -29,8 +29,8 @@
     Raises
     ------
     InvalidError
-        If it is not JSON or does not fit `kind`; the error names the field,
-        its value and what is allowed.
+        If `data` is not JSON or does not match `kind`; the error names the field,
+        its value and the allowed values.
     """
     try:
         return msgspec.json.decode(data, type=kind)
@@ -41,23 +41,23 @@
 
 
 def shown(value: object) -> str:
-    """Return `value` as JSON, cut to what fits in an error."""
+    """Return `value` as JSON, cut to `MAX_SHOWN_CHARS` characters."""
     text = msgspec.json.encode(value).decode()
-    if len(text) <= MAX_SHOWN:
+    if len(text) <= MAX_SHOWN_CHARS:
         return text
-    return text[:MAX_SHOWN] + "..."
+    return text[:MAX_SHOWN_CHARS] + "..."
 
 
 def address_error(address: str) -> str:
-    """Return what is wrong with an address, empty if it is ``ip:port``."""
-    allowed = "allowed is ip:port, such as 10.0.0.1:7000, and no host name"
+    """Return why an address is not a valid ``ip:port``, empty if it is valid."""
+    allowed = "must be ip:port, such as 10.0.0.1:7000, without a host name"
     host, separator, port = address.rpartition(":")
     if not separator or not port.isascii() or not port.isdigit():
         return allowed
     if not 0 < int(port) <= MAX_PORT:
-        return f"allowed is a port from 1 to {MAX_PORT}"
+        return f"the port must be from 1 to {MAX_PORT}"
     if ":" in host and not (host.startswith("[") and host.endswith("]")):
-        return "allowed is [ip]:port for IP version 6"
+        return "must be [ip]:port for IP version 6"
     try:
         ip_address(host.strip("[]"))
     except ValueError:
@@ -66,7 +66,10 @@
 
 
 def _parsed(data: bytes) -> Any:
-    """Return the whole document, of which a wrong field may hide a broken rest."""
+    """Decode the whole document without a schema.
+
+    The typed decoder stops at the first wrong field; the rest may not be JSON.
+    """
     try:
         return msgspec.json.decode(data)
     except UNDECODABLE as error:
@@ -80,34 +83,34 @@
 
 def _wrong_field(document: Any, kind: type, message: str) -> InvalidError:
     found = _AT_PATH.match(message)
-    what = found["what"] if found else message
+    problem = found["what"] if found else message
     path = found["path"] if found else ""
-    named = _NAMED_FIELD.search(what)
-    if named:
-        path = f"{path}.{named['name']}"
-    steps = _steps_of(path)
-    allowed = sorted(set(_choices_at(inspect.type_info(kind), steps)))
+    field_match = _FIELD_NAME.search(problem)
+    if field_match:
+        path = f"{path}.{field_match['name']}"
+    path_steps = _path_steps(path)
+    allowed = sorted(set(_choices_at(inspect.type_info(kind), path_steps)))
     if allowed:
-        what = f"allowed are {', '.join(allowed)}"
-    value = _value_at(document, steps)
+        problem = f"must be one of {', '.join(allowed)}"
+    value = _value_at(document, path_steps)
     if value is not msgspec.UNSET:
-        what = f"is {shown(value)}: {what}"
+        problem = f"is {shown(value)}: {problem}"
     field = path.lstrip(".")
     return InvalidError(
-        FailureReason.CONFIGURATION_WRONG, f"{field} {what}".strip(), field=field
+        FailureReason.CONFIGURATION_WRONG, f"{field} {problem}".strip(), field=field
     )
 
 
-def _steps_of(path: str) -> tuple[str | int, ...]:
+def _path_steps(path: str) -> tuple[str | int, ...]:
     return tuple(
         step["name"] if step["name"] is not None else int(step["index"])
-        for step in _STEP.finditer(path)
+        for step in _PATH_STEP.finditer(path)
     )
 
 
-def _value_at(document: Any, steps: tuple[str | int, ...]) -> Any:
+def _value_at(document: Any, path_steps: tuple[str | int, ...]) -> Any:
     value = document
-    for step in steps:
+    for step in path_steps:
         try:
             value = value[step]
         except (KeyError, IndexError, TypeError):
@@ -115,19 +118,19 @@
     return value
 
 
-def _choices_at(kind: inspect.Type, steps: tuple[str | int, ...]) -> Iterator[str]:
-    """Yield the values that an enumeration or a tag at the path may have."""
+def _choices_at(kind: inspect.Type, path_steps: tuple[str | int, ...]) -> Iterator[str]:
+    """Yield the values that are allowed for an enumeration or a tag at a path."""
     match kind:
         case inspect.UnionType(types=types):
             for option in types:
-                yield from _choices_at(option, steps)
-        case inspect.EnumType(cls=cls) if not steps:
+                yield from _choices_at(option, path_steps)
+        case inspect.EnumType(cls=cls) if not path_steps:
             yield from (str(member.value) for member in cls)
-        case inspect.StructType(tag_field=name, tag=tag) if steps == (name,):
+        case inspect.StructType(tag_field=name, tag=tag) if path_steps == (name,):
             yield str(tag)
-        case inspect.StructType(fields=fields) if steps:
+        case inspect.StructType(fields=fields) if path_steps:
             for field in fields:
-                if field.encode_name == steps[0]:
-                    yield from _choices_at(field.type, steps[1:])
-        case inspect.VarTupleType(item_type=item) if steps:
-            yield from _choices_at(item, steps[1:])
+                if field.encode_name == path_steps[0]:
+                    yield from _choices_at(field.type, path_steps[1:])
+        case inspect.VarTupleType(item_type=item) if path_steps:
+            yield from _choices_at(item, path_steps[1:])
--- a/src/bankrudder/config/_difference.py
+++ b/src/bankrudder/config/_difference.py
@@ -8,7 +8,7 @@
 
 
 class Removed(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Names of the entries that a newer configuration no longer has."""
+    """Names of the entries that are missing from the newer configuration."""
 
     data_centres: tuple[str, ...] = ()
     data_classes: tuple[str, ...] = ()
@@ -20,14 +20,14 @@
 
 
 class ConfigurationDifference(msgspec.Struct, frozen=True):
-    """What turns one configuration into another, entry by entry.
+    """The entries by which two configurations differ.
 
     Attributes
     ----------
     changed : Configuration
-        Entries that are new or differ, whole.
+        Complete entries that are new or differ.
     removed : Removed
-        Names of entries that are gone.
+        Names of entries that were removed.
     """
 
     changed: Configuration
@@ -35,7 +35,7 @@
 
 
 def difference(old: Configuration, new: Configuration) -> ConfigurationDifference:
-    """Return what an operator would change by replacing `old` by `new`."""
+    """Return the entries that change if `new` replaces `old`."""
     changed = {}
     removed = {}
     for section in SECTIONS:
--- a/src/bankrudder/config/_index.py
+++ b/src/bankrudder/config/_index.py
@@ -1,4 +1,4 @@
-"""Look-ups by name over one configuration."""
+"""Look-ups by name in one configuration."""
 
 from collections.abc import Iterable
 from typing import Protocol, TypeVar
@@ -32,10 +32,10 @@
 
 
 class ConfigurationIndex:
-    """A configuration with its entries found by name.
+    """A configuration whose entries are indexed by name.
 
-    Each look-up of an unknown name raises `InvalidError`, with the field that
-    the caller got wrong.
+    A look-up by name raises `InvalidError` for an unknown name, with the wrong field
+    of the request. A look-up by token hash returns None instead.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
         self._data_classes = _by_name(configuration.data_classes)
         self._jobs = _by_name(configuration.jobs)
         self._callers = {c.token_sha256: c for c in configuration.callers}
-        self._allowed: dict[str, frozenset[DataCentreName]] = {
+        self._allowed_data_centres: dict[str, frozenset[DataCentreName]] = {
             data_class.name: frozenset(data_class.allowed_data_centres)
             for data_class in configuration.data_classes
         }
@@ -61,37 +61,37 @@
 
     def pool(self, name: PoolName) -> Pool:
         """Return the pool, or raise UNKNOWN_POOL."""
-        return _known(self._pools, name, "pool", FailureReason.UNKNOWN_POOL)
+        return _look_up(self._pools, name, "pool", FailureReason.UNKNOWN_POOL)
 
     def caller_by_token_hash(self, token_sha256: str) -> Caller | None:
-        """Return whose token has this hexadecimal SHA-256, None if nobody's."""
+        """Return the caller whose token has this hexadecimal SHA-256, or None."""
         return self._callers.get(token_sha256)
 
     def caller_class(self, name: CallerClassName) -> CallerClass:
         """Return the caller class, or raise BAD_REQUEST."""
         reason = FailureReason.BAD_REQUEST
-        return _known(self._classes, name, "caller_class", reason)
+        return _look_up(self._classes, name, "caller_class", reason)
 
     def data_class(self, name: DataClassName) -> DataClass:
         """Return the data class, or raise UNKNOWN_DATA_CLASS."""
         reason = FailureReason.UNKNOWN_DATA_CLASS
-        return _known(self._data_classes, name, "data_class", reason)
+        return _look_up(self._data_classes, name, "data_class", reason)
 
     def allowed(self, data_class: DataClassName) -> frozenset[DataCentreName]:
-        """Return where the class may be processed, or raise UNKNOWN_DATA_CLASS."""
+        """Return the allowed data centres of a class, or raise UNKNOWN_DATA_CLASS."""
         reason = FailureReason.UNKNOWN_DATA_CLASS
-        return _known(self._allowed, data_class, "data_class", reason)
+        return _look_up(self._allowed_data_centres, data_class, "data_class", reason)
 
     def job(self, name: JobName) -> Job:
         """Return the job, or raise UNKNOWN_JOB."""
-        return _known(self._jobs, name, "job", FailureReason.UNKNOWN_JOB)
+        return _look_up(self._jobs, name, "job", FailureReason.UNKNOWN_JOB)
 
 
 def _by_name(entries: Iterable[NamedT]) -> dict[str, NamedT]:
     return {entry.name: entry for entry in entries}
 
 
-def _known(
+def _look_up(
     entries: dict[str, ValueT], name: KeyT, field: str, reason: FailureReason
 ) -> ValueT:
     entry = entries.get(name)
--- a/src/bankrudder/config/_placement.py
+++ b/src/bankrudder/config/_placement.py
@@ -1,4 +1,4 @@
-"""Which hosts may touch which data."""
+"""Check of the data centres in which a request may be processed."""
 
 from collections.abc import Callable, Collection, Mapping
 
@@ -8,16 +8,16 @@
 from bankrudder.world import DataCentreName, HostId
 
 MAX_ADDRESSES = 8
-"""Hosts that a caller is told of at most when it asked in the wrong place."""
+"""Largest number of host addresses in a refusal with the reason WRONG_PLACE."""
 
 
 class PlacementGuard:
-    """Keeps requests away from hosts where their data may not be.
+    """Refuses requests whose data may not be processed in this host's data centre.
 
     Parameters
     ----------
     heartbeats : callable
-        The newest heartbeat of each host.
+        Returns the newest heartbeat of each host.
     """
 
     def __init__(
@@ -29,19 +29,21 @@
         self._heartbeats = heartbeats
 
     def check(self, allowed: Collection[DataCentreName]) -> None:
-        """Refuse what may not be processed on this host.
+        """Refuse a request that may not be processed in this data centre.
 
         Raises
         ------
         NotRunError
-            ``WRONG_PLACE``, with addresses of hosts that may.
+            With the reason WRONG_PLACE and addresses of hosts in allowed data centres.
         """
         if self._data_centre in allowed:
             return
         addresses = sorted(
-            beat.rpc_address
-            for beat in self._heartbeats().values()
-            if beat.data_centre in allowed and beat.rpc_address and not beat.is_leaving
+            heartbeat.rpc_address
+            for heartbeat in self._heartbeats().values()
+            if heartbeat.data_centre in allowed
+            and heartbeat.rpc_address
+            and not heartbeat.is_leaving
         )
         raise NotRunError(
             FailureReason.WRONG_PLACE,
--- a/src/bankrudder/config/_routes.py
+++ b/src/bankrudder/config/_routes.py
@@ -1,4 +1,4 @@
-"""What a configuration means for routing: one route for each pool and job."""
+"""Routes that a configuration defines: one for each pool and each job."""
 
 from collections.abc import Iterator
 
@@ -13,16 +13,16 @@
 )
 from bankrudder.world import DataCentreName, Job, Pool, PoolKind
 
-TARGET_SHARE = 0.2
-"""Share of a pool's timeout in which an answer is most useful: an idempotent request
-goes to a second endpoint after half of it."""
+TARGET_TIMEOUT_SHARE = 0.2
+"""Target latency as a share of a pool's timeout: an idempotent request is also sent to
+a second endpoint after half the target latency."""
 
 BASE_ADAPTER = "base"
-"""What a job's adapter is called that is the pool's own model."""
+"""Adapter name of a job that trains the model of the pool itself."""
 
 
 def service_of(pool: Pool) -> ServiceName:
-    """Return the name under which a pool's endpoints are listed."""
+    """Return the service name of a pool's endpoints."""
     return ServiceName(pool.service or pool.name)
 
 
@@ -32,7 +32,7 @@
 
 
 def pool_route(pool: Pool, data_centres: tuple[DataCentreName, ...]) -> Route:
-    """Return the route of a pool's calls whose data may be in some places."""
+    """Return the route of a pool's calls, restricted to `data_centres`."""
     return Route(
         name=RouteName(f"pools/{pool.name}"),
         host=pool.host or pool.name,
@@ -40,7 +40,7 @@
         kind=_kind(pool),
         services=(WeightedService(service_of(pool), 1.0),),
         timeout_s=pool.contract.timeout_s,
-        target_s=TARGET_SHARE * pool.contract.timeout_s,
+        target_s=TARGET_TIMEOUT_SHARE * pool.contract.timeout_s,
         max_attempts=pool.contract.max_attempts,
         is_resumable=pool.contract.resumes,
         data_centres=data_centres,
@@ -56,7 +56,7 @@
         kind=RouteKind.ROLLOUT,
         services=(WeightedService(service_of(pool), 1.0),),
         timeout_s=pool.contract.timeout_s,
-        target_s=TARGET_SHARE * pool.contract.timeout_s,
+        target_s=TARGET_TIMEOUT_SHARE * pool.contract.timeout_s,
         result_target_s=job.sample_timeout_s,
         retention_s=job.sample_timeout_s,
         max_attempts=pool.contract.max_attempts,
--- a/src/bankrudder/config/_service.py
+++ b/src/bankrudder/config/_service.py
@@ -1,9 +1,9 @@
-"""The configuration: applied once, in force on every host soon after.
+"""Applies configurations and distributes them to all hosts.
 
 One row of table ``configuration`` names the newest revision and the object that holds
-its document. It changes under the condition that the operator read the one before. Each
-host follows the row, and refuses calls once it cannot tell for a while whether what it
-has is the newest.
+its document. The row changes only if the operator's base revision is still the newest.
+Each host follows the row, and refuses calls if it could not read the row for more than
+`MAX_CONFIGURATION_AGE_S`.
 """
 
 import asyncio
@@ -39,44 +39,44 @@
 
 CONFIGURATION_TABLE = "configuration"
 
-MAX_AGE_S = 10.0
-"""A host that could not read for so long refuses calls: operators may have moved data
-classes meanwhile. Outages of the store of several seconds pass unnoticed."""
+MAX_CONFIGURATION_AGE_S = 10.0
+"""Time without a successful read after which a host refuses calls: operators may have
+moved data classes meanwhile. Store outages of several seconds do not affect calls."""
 
-APPLY_GIVE_UP_S = 3.0
-"""Time for which an apply is tried again."""
+APPLY_TIMEOUT_S = 3.0
+"""Time limit for retries of the write of a new revision."""
 
-ACCEPT_WAIT_S = 4.0
-"""Time for which an apply waits until all live hosts say that it is in force: some
-intervals of the idle heartbeats of a fleet of 30 hosts, after which it tells who lacks
-it. The operator may ask again."""
+IN_FORCE_WAIT_S = 4.0
+"""Longest time for which an apply waits until all live hosts report the revision as in
+force: a few idle heartbeat intervals in a fleet of 30 hosts. The reply then lists the
+hosts that do not report it; the operator may apply the document again."""
 
 POLL_S = 0.1
 
 RETRY_AFTER_S = 1.0
 
 RELOAD_PAUSE_S = 0.2
-"""Pause after a document could not be read."""
+"""Pause after a failed read of a document."""
 
-_ROW = RowKey(CONFIGURATION_TABLE, "", "newest")
+_ROW_KEY = RowKey(CONFIGURATION_TABLE, "", "newest")
 
 _log = structlog.get_logger("config")
 
 
 class ConfigurationRow(msgspec.Struct, frozen=True):
-    """The newest revision; ``object_name`` holds its document."""
+    """The newest revision; ``object_name`` names the object with its document."""
 
     revision: Revision
     object_name: str
 
 
 class ApplyOutcome(msgspec.Struct, frozen=True):
-    """What became of an apply.
+    """Result of an apply.
 
     Attributes
     ----------
     pending_hosts : tuple of HostId
-        Live hosts that do not say yet that it is in force there.
+        Live hosts that do not yet report the revision as in force.
     """
 
     revision: Revision
@@ -84,17 +84,17 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether it is in force on all live hosts."""
+        """Whether the revision is in force on all live hosts."""
         return not self.pending_hosts
 
 
 class ConfigurationService:
-    """Holds the configuration in force here, and applies new ones.
+    """Holds the configuration in force on this host, and applies new ones.
 
     Parameters
     ----------
     on_change : callable
-        Told each configuration that comes into force.
+        Called with each configuration that comes into force.
     """
 
     def __init__(
@@ -123,36 +123,37 @@
 
     @property
     def revision(self) -> Revision:
-        """The revision in force here, 0 before the first."""
+        """The revision in force on this host, 0 before the first."""
         return self._revision
 
     @property
     def document(self) -> bytes:
-        """The document in force here, as it was applied."""
+        """The document in force on this host, as it was applied."""
         return self._document
 
     @property
     def known_index(self) -> ConfigurationIndex:
-        """The configuration in force here, however old."""
+        """The configuration in force on this host, even if it may be outdated."""
         return self._index
 
     @property
     def index(self) -> ConfigurationIndex:
-        """The configuration in force, for requests.
+        """The configuration in force, checked for age.
 
         Raises
         ------
         NotRunError
-            If there is none, or this host cannot tell whether it is the newest.
+            If no configuration is in force, or it was last read more than
+            `MAX_CONFIGURATION_AGE_S` ago.
         """
         if not self._revision:
             raise NotRunError(
                 FailureReason.NO_CONFIGURATION,
-                "no configuration is known here",
+                "no configuration is in force on this host",
                 retry_after_s=RETRY_AFTER_S,
             )
         age_s = self._clock.monotonic() - (self._follower.last_read_at or 0.0)
-        if age_s > MAX_AGE_S:
+        if age_s > MAX_CONFIGURATION_AGE_S:
             raise NotRunError(
                 FailureReason.STALE_CONFIGURATION,
                 f"the configuration was last read {age_s:.0f} s ago",
@@ -169,17 +170,17 @@
     async def apply(self, document: bytes, base: Revision) -> ApplyOutcome:
         """Replace the configuration of revision `base`.
 
-        The same document on the same base may be applied again: no second revision
-        comes of it.
+        Applying the same document on the same base again is safe: it does not create
+        a second revision.
 
         Raises
         ------
         InvalidError
-            If the document is wrong, or `base` is not the newest revision.
+            If the document is invalid, or `base` is not the newest revision.
         NotRunError
-            If the store does not take it.
+            If the store does not accept the write.
         OutcomeUnknownError
-            If it may have been applied.
+            If the configuration may have been applied.
         """
         check(document)
         revision = Revision(base + 1)
@@ -188,7 +189,7 @@
         with told_as_failures(unsettled, RETRY_AFTER_S):
             await self._write(row, document, base)
         _log.info("config: applied", revision=revision, bytes=len(document))
-        return await self._accepted(revision)
+        return await self._wait_until_in_force(revision)
 
     async def _write(
         self, row: ConfigurationRow, document: bytes, base: Revision
@@ -204,10 +205,10 @@
         value = msgspec.json.encode(row)
         outcome = await commit_settled(
             self._store,
-            Transaction((Expectation(_ROW, version),), (Put(_ROW, value),)),
+            Transaction((Expectation(_ROW_KEY, version),), (Put(_ROW_KEY, value),)),
             lambda conflict: any(each.value == value for each in conflict.rows),
             self._clock,
-            APPLY_GIVE_UP_S,
+            APPLY_TIMEOUT_S,
         )
         match outcome:
             case NotCommitted(trouble=trouble):
@@ -224,35 +225,36 @@
         row = page.rows[0]
         return msgspec.json.decode(row.value, type=ConfigurationRow), row.version
 
-    async def _accepted(self, revision: Revision) -> ApplyOutcome:
-        until = self._clock.monotonic() + ACCEPT_WAIT_S
-        await self._know_ready_hosts()
+    async def _wait_until_in_force(self, revision: Revision) -> ApplyOutcome:
+        until = self._clock.monotonic() + IN_FORCE_WAIT_S
+        await self._refresh_hosts()
         while True:
-            pending = self._pending(revision)
+            pending = self._pending_hosts(revision)
             if not pending or self._clock.monotonic() >= until:
                 return ApplyOutcome(revision, pending)
             await asyncio.sleep(POLL_S)
 
-    async def _know_ready_hosts(self) -> None:
-        """Learn of hosts that became ready since the last read of the heartbeats.
+    async def _refresh_hosts(self) -> None:
+        """Read the heartbeats, to include hosts that became ready since the last read.
 
-        A host is ready only after its first heartbeat, so the store names all that may
-        have begun with an older configuration.
+        A host is ready only after its first heartbeat, so the store lists every host
+        that may have started with an older configuration.
         """
         try:
             await self._presence.refresh()
         except StoreUnavailableError as error:
             _log.warning(
-                "config: hosts not read, known ones counted",
+                "config: heartbeats not read, using known hosts",
                 reason=error.trouble.value,
             )
 
-    def _pending(self, revision: Revision) -> tuple[HostId, ...]:
-        beats = self._presence.heartbeats()
+    def _pending_hosts(self, revision: Revision) -> tuple[HostId, ...]:
+        heartbeats_by_host = self._presence.heartbeats()
         return tuple(
             host
             for host in self._presence.live_hosts()
-            if beats[host].rpc_address and beats[host].revision < revision
+            if heartbeats_by_host[host].rpc_address
+            and heartbeats_by_host[host].revision < revision
         )
 
     def _on_row(self, row: Row) -> None:
@@ -268,11 +270,11 @@
             newest = self._newest
             if newest is None or newest.revision <= self._revision:
                 continue
-            if not await self._was_loaded(newest):
+            if not await self._try_load(newest):
                 self._newest_changed.set()
                 await asyncio.sleep(RELOAD_PAUSE_S)
 
-    async def _was_loaded(self, newest: ConfigurationRow) -> bool:
+    async def _try_load(self, newest: ConfigurationRow) -> bool:
         try:
             document = await self._store.get_object(newest.object_name)
         except StoreUnavailableError as error:
@@ -286,18 +288,19 @@
             _log.error("config: document missing", revision=newest.revision)
             return False
         try:
-            self._take(newest.revision, document)
+            self._put_in_force(newest.revision, document)
         except InvalidError as error:
-            # Another version of the program applied it; what is in force stays.
+            # Another version of the program applied the document; the configuration in
+            # force stays.
             _log.error(
-                "config: document not understood",
+                "config: document invalid",
                 revision=newest.revision,
                 field=error.failure.field,
                 reason=error.failure.detail,
             )
         return True
 
-    def _take(self, revision: Revision, document: bytes) -> None:
+    def _put_in_force(self, revision: Revision, document: bytes) -> None:
         before = self._revision
         self._index = ConfigurationIndex(check(document))
         self._document = document
@@ -308,7 +311,7 @@
 
 
 def _object_name(revision: Revision, document: bytes) -> str:
-    # Objects are never written twice, so the name tells the document.
+    # Objects are never overwritten, so the name identifies the document.
     return f"configuration-{revision}-{sha256(document).hexdigest()[:16]}"
 
 
@@ -316,6 +319,6 @@
     revision = newest.revision if newest is not None else 0
     return InvalidError(
         FailureReason.REVISION_CONFLICT,
-        f"it was made from revision {base}, the newest is {revision}",
+        f"base revision is {base}, newest revision is {revision}",
         field="base_revision",
     )
--- a/tests/config/conftest.py
+++ b/tests/config/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests of the configuration."""
+"""Fixtures for the tests of the configuration."""
 
 import json
 from pathlib import Path
@@ -11,17 +11,17 @@
 
 
 @pytest.fixture
-def formosa():
-    """Formosa's configuration as a JSON value that a test may change."""
+def formosa_document():
+    """The example configuration of Formosa as a JSON value that a test may change."""
     return json.loads((EXAMPLES / "formosa.json").read_bytes())
 
 
 @pytest.fixture
-def document(formosa):
-    """Return a document that differs by the queue limit of the first class."""
+def document(formosa_document):
+    """Return a function that makes a document with a given queue limit."""
 
     def make(queue_limit=256):
-        formosa["caller_classes"][0]["queue_limit"] = queue_limit
-        return json.dumps(formosa).encode()
+        formosa_document["caller_classes"][0]["queue_limit"] = queue_limit
+        return json.dumps(formosa_document).encode()
 
     return make
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -1,4 +1,4 @@
-"""Checks of a whole configuration: what is wrong is named."""
+"""Validation of whole configurations: errors name the wrong field and its value."""
 
 import json
 from pathlib import Path
@@ -33,7 +33,7 @@
     ("pools[0].contract.timeout_s", 0, "more than 0"),
     ("pools[1].contract.retry_window_s", 1, "at least timeout_s"),
     ("pools[0].contract.max_attempts", 0, "at least 1"),
-    ("pools[0].path", "generate", "begins and ends"),
+    ("pools[0].path", "generate", "begin and end"),
     ("pools[0].kind", "oracle", "engine, service"),
     ("jobs[0].pool", "leases", "no such pool"),
     ("jobs[0].pool", "quote-desk", "engines"),
@@ -51,7 +51,7 @@
 ]
 
 
-def put(document, path, value):
+def set_value(document, path, value):
     """Set the value at `path`, such as ``jobs[0].pool``."""
     *parents, last = path.replace("[", ".").replace("]", "").split(".")
     for parent in parents:
@@ -69,16 +69,18 @@
 
 
 @pytest.mark.parametrize("site", ["tasman", "formosa"])
-def test_the_examples_are_right(site):
+def test_the_examples_are_valid(site):
     assert check((ROOT / "examples" / f"{site}.json").read_bytes()).jobs
 
 
 @pytest.mark.parametrize(("path", "value", "allowed"), WRONG_VALUES)
-def test_a_wrong_value_is_named_with_what_is_allowed(formosa, path, value, allowed):
-    for caller in formosa["callers"]:
+def test_a_wrong_value_is_reported_with_what_is_allowed(
+    formosa_document, path, value, allowed
+):
+    for caller in formosa_document["callers"]:
         caller.setdefault("roles", ["caller"])
-    put(formosa, path, value)
-    failure = failure_of(formosa)
+    set_value(formosa_document, path, value)
+    failure = failure_of(formosa_document)
     assert failure.reason is FailureReason.CONFIGURATION_WRONG
     assert failure.field.startswith(path)
     assert allowed in failure.detail
@@ -86,32 +88,35 @@
 
 
 @pytest.mark.parametrize("section", Configuration.__struct_fields__)
-def test_a_name_given_twice_is_wrong(formosa, section):
-    formosa[section].append(formosa[section][0])
-    assert f"{section}[{len(formosa[section]) - 1}].name" in failure_of(formosa).detail
-
-
-def test_all_findings_are_listed_and_the_first_leads(formosa):
-    put(formosa, "jobs[1].max_tokens", 0)
-    put(formosa, "pools[0].model", "")
-    failure = failure_of(formosa)
+def test_a_name_given_twice_is_wrong(formosa_document, section):
+    formosa_document[section].append(formosa_document[section][0])
+    assert (
+        f"{section}[{len(formosa_document[section]) - 1}].name"
+        in failure_of(formosa_document).detail
+    )
+
+
+def test_all_findings_are_listed_and_the_field_is_of_the_first(formosa_document):
+    set_value(formosa_document, "jobs[1].max_tokens", 0)
+    set_value(formosa_document, "pools[0].model", "")
+    failure = failure_of(formosa_document)
     assert failure.field == "pools[0].model"
     assert "jobs[1].max_tokens" in failure.detail
 
 
-def test_an_operator_is_needed(formosa):
-    formosa["callers"] = formosa["callers"][:-1]
-    assert failure_of(formosa).field == "callers"
+def test_an_operator_is_required(formosa_document):
+    formosa_document["callers"] = formosa_document["callers"][:-1]
+    assert failure_of(formosa_document).field == "callers"
 
 
-NO_CONFIGURATION = [
+UNDECODABLE_DOCUMENTS = [
     *(b"", b"{", b"\xff", b"[]", b"null"),
     *(b'{"unknown": ', b'{"jobs": 1, "pools', b'{"unknown": "\xff"}'),
     *(b"[" * 100_000, b'{"unknown": ' + b"[" * 100_000),
 ]
 
 
-@pytest.mark.parametrize("document", NO_CONFIGURATION)
-def test_what_is_no_configuration_is_refused(document):
+@pytest.mark.parametrize("document", UNDECODABLE_DOCUMENTS)
+def test_an_undecodable_document_is_refused(document):
     with pytest.raises(InvalidError):
         check(document)
--- a/tests/config/test_difference.py
+++ b/tests/config/test_difference.py
@@ -1,4 +1,4 @@
-"""What an operator would change."""
+"""Differences between two configurations."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 TWO = Pool("two", PoolKind.SERVICE)
 
 
-def test_entries_that_are_new_changed_or_gone_are_told():
+def test_changed_and_removed_entries_are_listed():
     slower = msgspec.structs.replace(ONE, contract=Contract(timeout_s=60.0))
     change = difference(Configuration(pools=(ONE, TWO)), Configuration(pools=(slower,)))
     assert change.changed.pools == (slower,)
--- a/tests/config/test_index.py
+++ b/tests/config/test_index.py
@@ -1,4 +1,4 @@
-"""Look-ups by name."""
+"""Look-ups of configuration entries."""
 
 import pytest
 
@@ -36,7 +36,7 @@
         ("job", FailureReason.UNKNOWN_JOB),
     ],
 )
-def test_an_unknown_name_has_its_reason(index, look_up, reason):
+def test_an_unknown_name_is_refused_with_the_reason_of_its_kind(index, look_up, reason):
     with pytest.raises(InvalidError) as raised:
         getattr(index, look_up)("nothing")
     assert raised.value.failure.reason is reason
--- a/tests/config/test_service.py
+++ b/tests/config/test_service.py
@@ -1,11 +1,11 @@
-"""The configuration in force on one host."""
+"""Applying a configuration, and the configuration in force on one host."""
 
 import asyncio
 
 import pytest
 
 from bankrudder.config import ConfigurationService
-from bankrudder.config._service import MAX_AGE_S
+from bankrudder.config._service import MAX_CONFIGURATION_AGE_S
 from bankrudder.exceptions import InvalidError, NotRunError, OutcomeUnknownError
 from bankrudder.failures import FailureReason
 from bankrudder.presence import Presence
@@ -30,21 +30,21 @@
     assert caught.value.failure.reason is FailureReason.NO_CONFIGURATION
 
 
-async def test_what_is_applied_comes_into_force(service, document):
+async def test_an_applied_configuration_comes_into_force(service, document):
     assert (await service.apply(document(), 0)).revision == 1
     await until(lambda: service.revision == 1)
     assert service.index.pool("quotes").model
     assert service.document == document()
 
 
-async def test_a_host_that_cannot_read_for_long_refuses(
+async def test_a_host_refuses_requests_with_an_outdated_configuration(
     service, document, gate, hand_clock
 ):
     await service.apply(document(), 0)
     await until(lambda: service.revision == 1)
     gate.mode = GateMode.BUSY
     await asyncio.sleep(1.0)
-    hand_clock.advance(MAX_AGE_S - 1)
+    hand_clock.advance(MAX_CONFIGURATION_AGE_S - 1)
     assert service.index
     hand_clock.advance(2)
     with pytest.raises(NotRunError) as caught:
@@ -68,7 +68,9 @@
     assert caught.value.failure.reason is FailureReason.REVISION_CONFLICT
 
 
-async def test_an_apply_that_is_not_settled_says_so(store, document, gate):
+async def test_an_apply_without_a_reply_from_the_store_has_an_unknown_outcome(
+    store, document, gate
+):
     presence = Presence(store, "host", "life", SystemClock())
     service = ConfigurationService(store, presence, SystemClock())
     gate.hang_replies = True
@@ -78,7 +80,7 @@
     assert (await service.apply(document(), 0)).revision == 1
 
 
-async def test_a_document_that_is_not_understood_leaves_what_is_in_force(
+async def test_an_invalid_document_does_not_replace_the_one_in_force(
     service,
     document,
     rows,
@@ -95,13 +97,13 @@
 async def test_an_apply_waits_for_hosts_that_became_ready_just_before(
     store, document, rows, monkeypatch
 ):
-    monkeypatch.setattr("bankrudder.config._service.ACCEPT_WAIT_S", 0.3)
+    monkeypatch.setattr("bankrudder.config._service.IN_FORCE_WAIT_S", 0.3)
     # This host has not read the heartbeats since the other one became ready.
     presence = Presence(store, "host", "life", SystemClock())
     service = ConfigurationService(store, presence, SystemClock())
-    beat = {"lifetime": "other-life", "count": 1, "rpc_address": "127.0.0.1:1"}
-    rows.put("hosts", "other", beat)
+    heartbeat = {"lifetime": "other-life", "count": 1, "rpc_address": "127.0.0.1:1"}
+    rows.put("hosts", "other", heartbeat)
     outcome = await service.apply(document(), 0)
     assert outcome.pending_hosts == ("other",)
-    rows.put("hosts", "other", {**beat, "count": 2, "revision": 1})
+    rows.put("hosts", "other", {**heartbeat, "count": 2, "revision": 1})
     assert (await service.apply(document(), 0)).accepted
