--- a/src/bankrudder/calls/_records.py
+++ b/src/bankrudder/calls/_records.py
@@ -104,7 +104,7 @@
         Raises
         ------
         StoreUnavailableError
-            If that cannot be told now.
+            If the store cannot be read now.
         """
         page = await self._store.read(CALLS_TABLE, name)
         if not page.rows:
--- a/src/bankrudder/steps/__init__.py
+++ b/src/bankrudder/steps/__init__.py
@@ -1,4 +1,4 @@
-"""Steps of the project's own interface: batches of samples for trainers' jobs."""
+"""Training steps over the gRPC interface: batches of samples for jobs of trainers."""
 
 from bankrudder.steps._publishing import (
     NAMED_VERSIONS_TABLE,
--- a/src/bankrudder/steps/_publishing.py
+++ b/src/bankrudder/steps/_publishing.py
@@ -1,4 +1,4 @@
-"""Versions of weights that trainers publish through the project's own interface."""
+"""Weight versions that trainers publish over the gRPC interface."""
 
 import msgspec
 import structlog
@@ -24,10 +24,10 @@
 from bankrudder.world import Clock, ModelVersion
 
 NAMED_VERSIONS_TABLE = "versions"
-"""One row for each model, with the newest version that was published."""
+"""Table with one row for each model, which holds the newest published version."""
 
-GIVE_UP_S = 3.0
-"""Time for which a publication is tried again; the trainer may publish it again."""
+PUBLISH_TIMEOUT_S = 3.0
+"""Time limit for retries of a publication; the trainer may repeat it afterwards."""
 
 RETRY_AFTER_S = 0.5
 
@@ -35,34 +35,36 @@
 
 
 class VersionRegistry:
-    """Keeps the newest version of each model; versions only grow."""
+    """Stores the newest version of each model; the version never decreases."""
 
     def __init__(self, store: Store, clock: Clock):
         self._store = store
         self._clock = clock
 
     async def publish(self, model: ModelName, version: ModelVersion) -> ModelVersion:
-        """Make a version the newest one; return the newest, which may be newer.
+        """Publish a version; return the newest version, which may be a later one.
 
         Raises
         ------
         InvalidError
             If the version is below 1.
         NotRunError
-            If the store does not take it.
+            If the store does not accept the write.
         OutcomeUnknownError
-            If it may have been published; it may be published again.
+            If the version may have been published; the trainer may publish it again.
         """
         if version < 1:
             raise InvalidError(
-                FailureReason.BAD_REQUEST, "allowed is 1 or more", field="version"
+                FailureReason.BAD_REQUEST, "must be at least 1", field="version"
             )
         with told_as_failures("the store gave no reply", RETRY_AFTER_S):
-            newest = await self._raise_to(model, version)
+            newest = await self._write_if_newer(model, version)
         _log.info("steps: version published", model=model, version=newest)
         return newest
 
-    async def _raise_to(self, model: ModelName, version: ModelVersion) -> ModelVersion:
+    async def _write_if_newer(
+        self, model: ModelName, version: ModelVersion
+    ) -> ModelVersion:
         key = RowKey(NAMED_VERSIONS_TABLE, "", model)
         value = msgspec.json.encode(ModelState(model, version))
         while True:
@@ -74,11 +76,11 @@
                 Transaction((Expectation(key, before),), (Put(key, value),)),
                 lambda conflict: conflict.holds(value),
                 self._clock,
-                GIVE_UP_S,
+                PUBLISH_TIMEOUT_S,
             )
             match outcome:
                 case Conflict():
-                    continue  # another version was published meanwhile
+                    continue  # another version was published concurrently
                 case NotCommitted(trouble=trouble):
                     raise StoreUnavailableError(trouble)
                 case _:
@@ -93,5 +95,5 @@
 
 
 def decode_named_version(body: bytes) -> ModelState:
-    """Decode a row of the table; raises `msgspec.DecodeError`."""
+    """Decode a row of `NAMED_VERSIONS_TABLE`; raises `msgspec.DecodeError`."""
     return msgspec.json.decode(body, type=ModelState)
--- a/src/bankrudder/steps/_service.py
+++ b/src/bankrudder/steps/_service.py
@@ -1,9 +1,10 @@
-"""Steps: a batch of samples for a job, delivered once each.
+"""Opens and ends training steps; each sample of a step is delivered once.
 
-A step is a batch like any other, named by its job, its number and the oldest version
-that it allows, so that it may be opened again at any host: what the trainer does not
-hold yet comes again, unchanged. A trainer that published a newer version meanwhile
-opens another batch of the same samples; what was generated goes on if it still fits.
+A step is a batch whose identifier consists of its job, its number and the oldest
+version that it allows. A trainer may therefore open the step again at any host, and
+gets the samples that it does not hold yet, unchanged. If the trainer published a newer
+version meanwhile, reopening the step creates another batch of the same samples; what
+was already generated is continued if its version is still allowed.
 """
 
 import asyncio
@@ -55,15 +56,15 @@
     VersionSpan,
 )
 
-MAX_SAMPLES = 8192
-"""Most samples of one step: twice what the largest trainers ask for."""
+MAX_SAMPLES_PER_STEP = 8192
+"""Twice the number of samples that the largest trainers request."""
 
 READ_WAIT_S = 1.0
-"""Longest time for which one read of results is held; then it is looked whether this
-host is about to stop."""
+"""Longest time that one read waits for results; between reads, the service checks
+whether this host is about to stop."""
 
 RETRY_PAUSE_S = 0.2
-"""Pause after results could not be read."""
+"""Pause after a failed read of results."""
 
 RETRY_AFTER_S = 0.5
 
@@ -71,12 +72,13 @@
 
 
 class StepService:
-    """Opens and ends steps.
+    """Opens steps for trainers and ends them.
 
     Parameters
     ----------
     is_leaving : callable
-        Whether this host is about to stop; open steps then go on elsewhere.
+        Returns whether this host is about to stop; open steps then continue at
+        another host.
     """
 
     def __init__(
@@ -100,29 +102,29 @@
     async def open(
         self, trainer: Caller, order: StepOrder
     ) -> AsyncGenerator[StepSample | StepEnd, None]:
-        """Yield each sample that the trainer does not hold, then the end.
+        """Yield each sample that the trainer does not hold, then the `StepEnd`.
 
         Raises
         ------
         InvalidError
-            If the order is wrong, or the step has other prompts.
+            If the order is invalid, or the step was opened with other prompts.
         NotRunError
-            If the step cannot be opened here now; another host may.
+            If this host cannot open the step now; another host may be able to.
         OutcomeUnknownError
-            If it is not known whether it was opened.
+            If it is unknown whether the step was opened.
         FailedError
-            If samples were given up; all others were delivered.
+            If samples were aborted; all other samples were delivered.
         """
-        job = self._job_of(trainer, order.job)
+        job = self._job_of_trainer(trainer, order.job)
         _check_shape(order)
-        batch = self._batch(trainer, job, order)
-        await self._accept(batch, order)
-        delivered = 0
-        async for sample in self._samples(batch.id, order.shape):
+        batch = self._build_batch(trainer, job, order)
+        await self._accept_batch(batch, order)
+        delivered_count = 0
+        async for sample in self._stream_samples(batch.id, order.shape):
             if sample.slot not in order.held:
-                delivered += 1
+                delivered_count += 1
                 yield sample
-        yield StepEnd(delivered)
+        yield StepEnd(delivered_count)
 
     async def ack(
         self,
@@ -133,47 +135,48 @@
         shape: StepShape,
         opened_versions: Iterable[ModelVersion],
     ) -> None:
-        """Note what the trainer holds; a step of which it holds all ends.
+        """End a step if the trainer holds all of its samples.
 
         Parameters
         ----------
         opened_versions : iterable of ModelVersion
-            Each version that the step was opened with.
+            All versions with which the step was opened.
 
         Raises
         ------
         InvalidError
-            If the job is not the trainer's.
+            If the job does not belong to the trainer.
         NotRunError, OutcomeUnknownError
-            If the step did not end, or perhaps.
+            If the step did not end, or if that is unknown.
         """
-        job = self._job_of(trainer, job_name)
+        job = self._job_of_trainer(trainer, job_name)
         if not shape.slots <= frozenset(slots):
             return
-        names = {
+        batch_ids = {
             _batch_id(job_name, step, _min_version(job, version))
             for version in opened_versions
         }
-        with told_as_failures("no reply", RETRY_AFTER_S):
-            for name in sorted(names):
-                await self._repository.end(name)
+        with told_as_failures("the store gave no reply", RETRY_AFTER_S):
+            for batch_id in sorted(batch_ids):
+                await self._repository.end(batch_id)
 
     def model_of(self, trainer: Caller, job_name: JobName) -> ModelName:
-        """Return the model whose versions a trainer publishes for a job."""
-        job = self._job_of(trainer, job_name)
+        """Return the model for which a trainer publishes versions in a job."""
+        job = self._job_of_trainer(trainer, job_name)
         return model_of(self._configuration.index.pool(job.pool), job)
 
-    def _job_of(self, trainer: Caller, name: JobName) -> Job:
+    def _job_of_trainer(self, trainer: Caller, name: JobName) -> Job:
         index = self._configuration.index
         job = index.job(name)
         if job.trainer != trainer.name:
             raise InvalidError(
-                FailureReason.NOT_ALLOWED, f"{trainer.name} does not train {job.name}"
+                FailureReason.NOT_ALLOWED,
+                f"trainer {trainer.name} does not train job {job.name}",
             )
         self._placement.check(index.allowed(job.data_class))
         return job
 
-    def _batch(self, trainer: Caller, job: Job, order: StepOrder) -> Batch:
+    def _build_batch(self, trainer: Caller, job: Job, order: StepOrder) -> Batch:
         index = self._configuration.index
         pool = index.pool(job.pool)
         route = job_route(pool, job, tuple(sorted(index.allowed(job.data_class))))
@@ -182,14 +185,14 @@
         generation = Generation(model, order.max_tokens or job.max_tokens, priority)
         min_version = _min_version(job, order.current_version)
         batch_id = _batch_id(job.name, order.step, min_version)
-        names = f"step.{job.name}.{order.step}"
+        id_prefix = f"step.{job.name}.{order.step}"
         samples = tuple(
             Sample(
-                id=SampleId(f"{names}.{slot.group}.{slot.index}"),
+                id=SampleId(f"{id_prefix}.{slot.group}.{slot.index}"),
                 target=f"{route.path_prefix}{order.step}",
                 headers=(),
                 body=order.prompts[slot.group],
-                group=GroupId(f"{names}.{slot.group}"),
+                group=GroupId(f"{id_prefix}.{slot.group}"),
                 generation=generation,
             )
             for slot in sorted(order.shape.slots)
@@ -207,46 +210,48 @@
             workspace=trainer.workspace,
         )
 
-    async def _accept(self, batch: Batch, order: StepOrder) -> None:
-        unsettled = "the step may be open; it may be opened again"
+    async def _accept_batch(self, batch: Batch, order: StepOrder) -> None:
+        unsettled = (
+            "the store gave no reply; the step may be open and may be opened again"
+        )
         with told_as_failures(unsettled, RETRY_AFTER_S):
             is_same = await self._batches.accept(batch)
             if is_same or await self._has_prompts_of(batch):
                 return
         raise InvalidError(
             FailureReason.STEP_CONFLICT,
-            f"step {order.step} of {order.job} has other prompts",
+            f"step {order.step} of job {order.job} was opened with other prompts",
             field="groups",
         )
 
     async def _has_prompts_of(self, batch: Batch) -> bool:
-        """Whether the step that is kept asks for the same samples.
+        """Return whether the stored step has the same samples.
 
-        The rest may differ: operators may have moved the job meanwhile.
+        Other fields may differ, because operators may have moved the job meanwhile.
         """
         try:
-            kept = await self._repository.load(batch.id)
+            stored_batch = await self._repository.load(batch.id)
         except UnknownBatchError:
             return False
-        return [(each.id, each.body) for each in kept.samples] == [
+        return [(each.id, each.body) for each in stored_batch.samples] == [
             (each.id, each.body) for each in batch.samples
         ]
 
-    async def _samples(
+    async def _stream_samples(
         self, batch_id: BatchId, shape: StepShape
     ) -> AsyncGenerator[StepSample, None]:
         position = 0
-        given_up = 0
+        given_up_count = 0
         while position < len(shape.slots):
             results, position = await self._next_results(batch_id, position)
             for result in results:
                 if result.state is ResultState.ABORTED:
-                    given_up += 1
+                    given_up_count += 1
                 else:
                     yield _sample(result)
-        if given_up:
+        if given_up_count:
             raise FailedError(
-                FailureReason.SAMPLES_GIVEN_UP, f"{given_up} samples were given up"
+                FailureReason.SAMPLES_GIVEN_UP, f"{given_up_count} samples were aborted"
             )
 
     async def _next_results(
@@ -256,7 +261,7 @@
             if self._is_leaving():
                 raise NotRunError(
                     FailureReason.STOPPING,
-                    "the step goes on; open it at another host",
+                    "this host stops; the step continues, open it at another host",
                     retry_after_s=0.0,
                 )
             try:
@@ -271,7 +276,7 @@
                 continue
             if page is None:
                 raise OutcomeUnknownError(
-                    FailureReason.INTERNAL, "the step is no longer kept"
+                    FailureReason.INTERNAL, "the step is no longer stored"
                 )
             if page.results:
                 return page.results, page.next_position
@@ -280,19 +285,21 @@
 def _check_shape(order: StepOrder) -> None:
     if not order.prompts or order.samples_per_group < 1:
         raise InvalidError(
-            FailureReason.BAD_REQUEST, "at least one sample is needed", field="groups"
+            FailureReason.BAD_REQUEST,
+            "at least one prompt and one sample per group are required",
+            field="groups",
         )
     count = len(order.prompts) * order.samples_per_group
-    if count > MAX_SAMPLES:
+    if count > MAX_SAMPLES_PER_STEP:
         raise InvalidError(
             FailureReason.TOO_LARGE,
-            f"{count} samples: allowed are {MAX_SAMPLES}",
+            f"step has {count} samples, limit {MAX_SAMPLES_PER_STEP}",
             field="groups",
         )
 
 
 def _min_version(job: Job, current_version: ModelVersion) -> ModelVersion:
-    """Return the oldest version that may make any of a step's samples."""
+    """Return the oldest version that may generate samples of a step."""
     return ModelVersion(max(current_version - job.max_staleness, 1))
 
 
--- a/src/bankrudder/steps/_values.py
+++ b/src/bankrudder/steps/_values.py
@@ -1,4 +1,4 @@
-"""What a trainer asks of a host."""
+"""Parameters for opening a training step."""
 
 import msgspec
 
@@ -12,20 +12,20 @@
 
 
 class StepOrder(msgspec.Struct, frozen=True):
-    """What a trainer asks for.
+    """Parameters with which a trainer opens a step.
 
     Attributes
     ----------
     prompts : tuple of bytes
-        One for each group.
+        One prompt for each group.
     current_version : ModelVersion
-        The newest version that the trainer published, 0 if it does not say.
+        The newest version that the trainer published, 0 if unspecified.
     held : frozenset of SampleSlot
-        What the trainer already has.
+        Samples that the trainer already has.
     max_tokens : int
-        Most tokens of a sample, 0 for the job's.
+        Most tokens of a sample, 0 for the limit of the job.
     trace : str
-        W3C ``traceparent`` of the span that received it, or empty.
+        W3C ``traceparent`` of the span that received the order, or empty.
     """
 
     job: JobName
@@ -39,5 +39,5 @@
 
     @property
     def shape(self) -> StepShape:
-        """How many samples are asked for."""
+        """Number of groups and of samples per group."""
         return StepShape(len(self.prompts), self.samples_per_group)
