--- a/src/bankrudder/calls/_admission.py
+++ b/src/bankrudder/calls/_admission.py
@@ -88,7 +88,7 @@
         self.admitted_count = 0
 
 
-class ClassAdmission:
+class AdmissionController:
     """Admits requests in the order of class priority, then of arrival."""
 
     def __init__(self, directory: EndpointDirectory, clock: Clock):
--- a/src/bankrudder/calls/_cleaning.py
+++ b/src/bankrudder/calls/_cleaning.py
@@ -19,7 +19,7 @@
 _log = structlog.get_logger("calls")
 
 
-class CallCleaner:
+class CallRecordCleaner:
     """Removes expired records while this host holds the lease.
 
     Parameters
--- a/src/bankrudder/calls/_keys.py
+++ b/src/bankrudder/calls/_keys.py
@@ -35,7 +35,7 @@
     return xxhash.xxh3_128_digest(msgspec.msgpack.encode(request))
 
 
-def minted_at(key: CallKey) -> float:
+def key_timestamp(key: CallKey) -> float:
     """Return the wall time in seconds at which `key` was generated.
 
     Raises
@@ -82,7 +82,7 @@
     Keys are scoped to a caller: equal keys of two callers have separate records.
     """
     scope = xxhash.xxh3_64_hexdigest(caller.encode())
-    return f"{round(minted_at(key) * MS_PER_S):013d}.{scope}.{key}"
+    return f"{round(key_timestamp(key) * MS_PER_S):013d}.{scope}.{key}"
 
 
 def record_timestamp(name: str) -> float:
--- a/src/bankrudder/calls/_once.py
+++ b/src/bankrudder/calls/_once.py
@@ -53,7 +53,7 @@
 _log = structlog.get_logger("calls")
 
 
-class OnceRunner:
+class AtMostOnceRunner:
     """Runs requests whose idempotency keys are recorded."""
 
     def __init__(self, records: CallRecords, presence: Presence, clock: Clock):
--- a/src/bankrudder/calls/_service.py
+++ b/src/bankrudder/calls/_service.py
@@ -5,16 +5,16 @@
 import structlog
 import uuid_utils
 
-from bankrudder.calls._admission import ClassAdmission, ClassPolicy, QueueKey
+from bankrudder.calls._admission import AdmissionController, ClassPolicy, QueueKey
 from bankrudder.calls._keys import (
     RequestIdentity,
     check_retry_window,
     fingerprint_of,
-    minted_at,
+    key_timestamp,
     record_name,
 )
-from bankrudder.calls._once import OnceRunner
-from bankrudder.calls._values import Answer, AnswerChunk, AnswerEnd, CallOrder
+from bankrudder.calls._once import AtMostOnceRunner
+from bankrudder.calls._values import Answer, AnswerChunk, AnswerEnd, CallSpec
 from bankrudder.config import ConfigurationService, PlacementGuard, pool_route
 from bankrudder.exceptions import (
     BankrudderError,
@@ -57,10 +57,10 @@
         self,
         configuration: ConfigurationService,
         placement: PlacementGuard,
-        admission: ClassAdmission,
+        admission: AdmissionController,
         forwarder: Forwarder,
         streams: StreamForwarder,
-        once: OnceRunner,
+        once: AtMostOnceRunner,
         clock: Clock,
     ):
         self._configuration = configuration
@@ -72,7 +72,7 @@
         self._clock = clock
 
     async def call(
-        self, order: CallOrder
+        self, spec: CallSpec
     ) -> AsyncGenerator[AnswerChunk | AnswerEnd, None]:
         """Yield the answer in chunks, then the `AnswerEnd`.
 
@@ -83,39 +83,39 @@
             known about the request.
         """
         index = self._configuration.index
-        pool = index.pool(order.pool)
-        self._check_order(order)
-        data_centres = index.allowed(order.data_class)
+        pool = index.pool(spec.pool)
+        self._check_spec(spec)
+        data_centres = index.allowed(spec.data_class)
         self._placement.check(data_centres)
         route = pool_route(pool, tuple(sorted(data_centres)))
-        own_class = index.caller_class(order.caller.caller_class)
+        own_class = index.caller_class(spec.caller.caller_class)
         policy = ClassPolicy.from_config(own_class, index.configuration.caller_classes)
-        request = self._build_request(order, pool, own_class)
+        request = self._build_request(spec, pool, own_class)
         if pool.kind is PoolKind.ENGINE:
             self._refuse_crashing_request(request)
             queue_key = QueueKey(route.services[0].service, route.data_centres)
-            async with self._admission.admitted(queue_key, policy, order.deadline):
+            async with self._admission.admitted(queue_key, policy, spec.deadline):
                 async for event in self._stream_answer(request, route):
                     yield event
             return
         answer, is_replayed = await self._service_answer(
-            order, request, pool, route, policy
+            spec, request, pool, route, policy
         )
         for chunk in _chunks(answer.body):
             yield chunk
         yield AnswerEnd(len(answer.body), (), answer.endpoint, is_replayed)
 
-    def _check_order(self, order: CallOrder) -> None:
-        if order.data_class not in order.caller.data_classes:
+    def _check_spec(self, spec: CallSpec) -> None:
+        if spec.data_class not in spec.caller.data_classes:
             raise InvalidError(
                 FailureReason.NOT_ALLOWED,
-                f"caller {order.caller.name} may not use data class {order.data_class}",
+                f"caller {spec.caller.name} may not use data class {spec.data_class}",
                 field="data_class",
             )
-        if len(order.payload) > MAX_PAYLOAD_BYTES:
+        if len(spec.payload) > MAX_PAYLOAD_BYTES:
             raise InvalidError(
                 FailureReason.TOO_LARGE,
-                f"payload is {len(order.payload)} bytes, limit {MAX_PAYLOAD_BYTES}",
+                f"payload is {len(spec.payload)} bytes, limit {MAX_PAYLOAD_BYTES}",
                 field="payload",
             )
 
@@ -126,33 +126,33 @@
             raise _error_of(refusal)
 
     def _build_request(
-        self, order: CallOrder, pool: Pool, own_class: CallerClass
+        self, spec: CallSpec, pool: Pool, own_class: CallerClass
     ) -> IncomingRequest:
         generation = None
         if pool.kind is PoolKind.ENGINE:
             generation = Generation(
-                ModelName(pool.model), order.max_tokens, own_class.priority
+                ModelName(pool.model), spec.max_tokens, own_class.priority
             )
-        path = pool.path + order.method
+        path = pool.path + spec.method
         return IncomingRequest(
-            request_id=order.key or str(uuid_utils.uuid7()),
+            request_id=spec.key or str(uuid_utils.uuid7()),
             method="POST",
             target=path,
             path=path,
             host=pool.host or pool.name,
             headers=(),
-            body=order.payload,
-            deadline=order.deadline,
+            body=spec.payload,
+            deadline=spec.deadline,
             received_at=self._clock.monotonic(),
             generation=generation,
-            trace=order.trace,
-            identity=(order.caller.workspace or order.caller.name, order.data_class),
-            workspace=order.caller.workspace,
+            trace=spec.trace,
+            identity=(spec.caller.workspace or spec.caller.name, spec.data_class),
+            workspace=spec.caller.workspace,
         )
 
     async def _service_answer(
         self,
-        order: CallOrder,
+        spec: CallSpec,
         request: IncomingRequest,
         pool: Pool,
         route: Route,
@@ -163,25 +163,25 @@
         async def run() -> Answer:
             # Not checked earlier: a recorded key must get its recorded outcome.
             self._refuse_crashing_request(request)
-            async with self._admission.admitted(queue_key, policy, order.deadline):
+            async with self._admission.admitted(queue_key, policy, spec.deadline):
                 reply = await self._forwarder.forward(request, route)
             return _answer_of(reply)
 
         if pool.contract.idempotent:
             return await run(), False
-        key_timestamp_s = minted_at(order.key)
+        key_timestamp_s = key_timestamp(spec.key)
         check_retry_window(
             key_timestamp_s, self._clock.wall(), pool.contract.retry_window_s
         )
         identity = RequestIdentity(
-            order.caller.name, order.data_class, order.pool, order.method, order.payload
+            spec.caller.name, spec.data_class, spec.pool, spec.method, spec.payload
         )
-        name = record_name(order.caller.name, order.key)
+        name = record_name(spec.caller.name, spec.key)
         answer, is_replayed = await self._once.run(
-            name, fingerprint_of(identity), order.deadline, run
+            name, fingerprint_of(identity), spec.deadline, run
         )
         if is_replayed:
-            _log.info("calls: answer replayed", call=order.key, pool=order.pool)
+            _log.info("calls: answer replayed", call=spec.key, pool=spec.pool)
         return answer, is_replayed
 
     async def _stream_answer(
--- a/src/bankrudder/calls/_values.py
+++ b/src/bankrudder/calls/_values.py
@@ -17,7 +17,7 @@
 NO_KEY = CallKey("")
 
 
-class CallOrder(msgspec.Struct, frozen=True):
+class CallSpec(msgspec.Struct, frozen=True):
     """Parameters of a call.
 
     Attributes
--- a/src/bankrudder/config/__init__.py
+++ b/src/bankrudder/config/__init__.py
@@ -1,7 +1,7 @@
 """Configuration: decoding, checks, look-ups, distribution to hosts, and routes."""
 
 from bankrudder.config._check import Finding, check, findings
-from bankrudder.config._decode import address_error, decode_document, shown
+from bankrudder.config._decode import address_error, decode_document, json_excerpt
 from bankrudder.config._difference import ConfigurationDifference, difference
 from bankrudder.config._index import ConfigurationIndex
 from bankrudder.config._placement import PlacementGuard
@@ -28,8 +28,8 @@
     "findings",
     "job_route",
     "job_routes",
+    "json_excerpt",
     "model_of",
     "pool_route",
     "published_schema",
-    "shown",
 ]
--- a/src/bankrudder/config/_check.py
+++ b/src/bankrudder/config/_check.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from bankrudder.config._decode import decode_document, shown
+from bankrudder.config._decode import decode_document, json_excerpt
 from bankrudder.config._routes import BASE_ADAPTER
 from bankrudder.exceptions import InvalidError
 from bankrudder.failures import FailureReason
@@ -87,7 +87,7 @@
 
 
 def _finding(field: str, value: object, problem: str) -> Finding:
-    return Finding(field, shown(value), problem)
+    return Finding(field, json_excerpt(value), problem)
 
 
 class _Checker:
--- a/src/bankrudder/config/_decode.py
+++ b/src/bankrudder/config/_decode.py
@@ -40,7 +40,7 @@
         raise _not_json(error) from error
 
 
-def shown(value: object) -> str:
+def json_excerpt(value: object) -> str:
     """Return `value` as JSON, cut to `MAX_SHOWN_CHARS` characters."""
     text = msgspec.json.encode(value).decode()
     if len(text) <= MAX_SHOWN_CHARS:
@@ -94,7 +94,7 @@
         problem = f"must be one of {', '.join(allowed)}"
     value = _value_at(document, path_steps)
     if value is not msgspec.UNSET:
-        problem = f"is {shown(value)}: {problem}"
+        problem = f"is {json_excerpt(value)}: {problem}"
     field = path.lstrip(".")
     return InvalidError(
         FailureReason.CONFIGURATION_WRONG, f"{field} {problem}".strip(), field=field
--- a/src/bankrudder/node/_interface.py
+++ b/src/bankrudder/node/_interface.py
@@ -10,11 +10,11 @@
 from bankrudder.batches import BatchReader, BatchRepository
 from bankrudder.calls import (
     CLEANING_PAUSE_S,
-    CallCleaner,
+    AdmissionController,
+    AtMostOnceRunner,
+    CallRecordCleaner,
     CallRecords,
     CallService,
-    ClassAdmission,
-    OnceRunner,
 )
 from bankrudder.config import (
     ConfigurationIndex,
@@ -34,10 +34,10 @@
     server_credentials,
 )
 from bankrudder.steps import (
-    NAMED_VERSIONS_TABLE,
+    PUBLISHED_VERSIONS_TABLE,
     StepService,
     VersionRegistry,
-    decode_named_version,
+    decode_published_version,
 )
 from bankrudder.store import Row, TableFollower
 from bankrudder.usage import UsageRows
@@ -75,12 +75,12 @@
             settings.data_centre, parts.presence.heartbeats
         )
         self._records = CallRecords(parts.store, clock)
-        self._cleaner = CallCleaner(
+        self._cleaner = CallRecordCleaner(
             self._records, parts.lease, self._longest_window_s, clock
         )
         self._versions = TableFollower(
             parts.store,
-            NAMED_VERSIONS_TABLE,
+            PUBLISHED_VERSIONS_TABLE,
             clock,
             on_row=self._on_version,
             on_removed=lambda _: None,
@@ -159,10 +159,10 @@
         return CallService(
             self._configuration,
             self._placement,
-            ClassAdmission(parts.directory, self._clock),
+            AdmissionController(parts.directory, self._clock),
             parts.forwarder,
             parts.streams,
-            OnceRunner(self._records, parts.presence, self._clock),
+            AtMostOnceRunner(self._records, parts.presence, self._clock),
             self._clock,
         )
 
@@ -186,7 +186,7 @@
         self._parts.view.set_more_routes(job_routes(index))
 
     def _on_version(self, row: Row) -> None:
-        self._parts.view.take_named(decode_named_version(row.value))
+        self._parts.view.take_named(decode_published_version(row.value))
 
     def _longest_window_s(self) -> float:
         pools = self._configuration.known_index.configuration.pools
--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from bankrudder.config import address_error, decode_document, shown
+from bankrudder.config import address_error, decode_document, json_excerpt
 from bankrudder.exceptions import InvalidError
 from bankrudder.failures import FailureReason
 from bankrudder.logs import LogLevel
@@ -191,7 +191,7 @@
     if wrong is not None:
         raise InvalidError(
             FailureReason.CONFIGURATION_WRONG,
-            f"{wrong.field} is {shown(wrong.value)}: {wrong.problem}",
+            f"{wrong.field} is {json_excerpt(wrong.value)}: {wrong.problem}",
             field=wrong.field,
         )
     return settings
--- a/src/bankrudder/rpc/_calls.py
+++ b/src/bankrudder/rpc/_calls.py
@@ -4,7 +4,7 @@
 from contextlib import aclosing
 from typing import Self
 
-from bankrudder.calls import AnswerChunk, AnswerEnd, CallOrder, CallService
+from bankrudder.calls import AnswerChunk, AnswerEnd, CallService, CallSpec
 from bankrudder.exceptions import ExpiredError, InvalidError
 from bankrudder.failures import FailureReason
 from bankrudder.observe import Metrics, Tracer
@@ -77,7 +77,7 @@
     caller: Caller,
     deadline: float,
     trace: str,
-) -> CallOrder:
+) -> CallSpec:
     data_class = data_class_of(context, caller)
     if not request.pool:
         raise InvalidError(FailureReason.UNKNOWN_POOL, "a pool is needed", field="pool")
@@ -85,7 +85,7 @@
         raise InvalidError(
             FailureReason.BAD_REQUEST, "allowed is 0 or more", field="max_tokens"
         )
-    return CallOrder(
+    return CallSpec(
         caller=caller,
         data_class=data_class,
         pool=PoolName(request.pool),
--- a/src/bankrudder/rpc/_trainers.py
+++ b/src/bankrudder/rpc/_trainers.py
@@ -11,7 +11,7 @@
 from bankrudder.rpc._context import RpcContext
 from bankrudder.rpc._identity import metadata_value
 from bankrudder.rpc._types import ServicerContext
-from bankrudder.steps import StepOrder, StepService, VersionRegistry
+from bankrudder.steps import StepService, StepSpec, VersionRegistry
 from bankrudder.v1 import bankrudder_pb2 as pb
 from bankrudder.v1 import bankrudder_pb2_grpc as pb_grpc
 from bankrudder.wire import TRACE_KEY
@@ -102,9 +102,9 @@
     return tuple(SampleSlot(slot.group, slot.index) for slot in slots)
 
 
-def _order_from(request: pb.OpenStepRequest, trace: str) -> StepOrder:
+def _order_from(request: pb.OpenStepRequest, trace: str) -> StepSpec:
     _check_not_negative(request, "step", "current_version", "max_tokens")
-    return StepOrder(
+    return StepSpec(
         job=JobName(request.job),
         step=StepNumber(request.step),
         prompts=tuple(group.prompt for group in request.groups),
--- a/src/bankrudder/steps/__init__.py
+++ b/src/bankrudder/steps/__init__.py
@@ -1,17 +1,17 @@
 """Training steps over the gRPC interface: batches of samples for jobs of trainers."""
 
 from bankrudder.steps._publishing import (
-    NAMED_VERSIONS_TABLE,
+    PUBLISHED_VERSIONS_TABLE,
     VersionRegistry,
-    decode_named_version,
+    decode_published_version,
 )
 from bankrudder.steps._service import StepService
-from bankrudder.steps._values import StepOrder
+from bankrudder.steps._values import StepSpec
 
 __all__ = [
-    "NAMED_VERSIONS_TABLE",
-    "StepOrder",
+    "PUBLISHED_VERSIONS_TABLE",
     "StepService",
+    "StepSpec",
     "VersionRegistry",
-    "decode_named_version",
+    "decode_published_version",
 ]
--- a/src/bankrudder/steps/_publishing.py
+++ b/src/bankrudder/steps/_publishing.py
@@ -23,7 +23,7 @@
 )
 from bankrudder.world import Clock, ModelVersion
 
-NAMED_VERSIONS_TABLE = "versions"
+PUBLISHED_VERSIONS_TABLE = "versions"
 """Table with one row for each model, which holds the newest published version."""
 
 PUBLISH_TIMEOUT_S = 3.0
@@ -65,7 +65,7 @@
     async def _write_if_newer(
         self, model: ModelName, version: ModelVersion
     ) -> ModelVersion:
-        key = RowKey(NAMED_VERSIONS_TABLE, "", model)
+        key = RowKey(PUBLISHED_VERSIONS_TABLE, "", model)
         value = msgspec.json.encode(ModelState(model, version))
         while True:
             newest, before = await self._read(model)
@@ -87,13 +87,13 @@
                     return version
 
     async def _read(self, model: ModelName) -> tuple[ModelVersion, RowVersion]:
-        page = await self._store.read(NAMED_VERSIONS_TABLE, "", model, model + "\0")
+        page = await self._store.read(PUBLISHED_VERSIONS_TABLE, "", model, model + "\0")
         if not page.rows:
             return ModelVersion(0), ABSENT
         row = page.rows[0]
-        return decode_named_version(row.value).version, row.version
+        return decode_published_version(row.value).version, row.version
 
 
-def decode_named_version(body: bytes) -> ModelState:
-    """Decode a row of `NAMED_VERSIONS_TABLE`; raises `msgspec.DecodeError`."""
+def decode_published_version(body: bytes) -> ModelState:
+    """Decode a row of `PUBLISHED_VERSIONS_TABLE`; raises `msgspec.DecodeError`."""
     return msgspec.json.decode(body, type=ModelState)
--- a/src/bankrudder/steps/_service.py
+++ b/src/bankrudder/steps/_service.py
@@ -38,7 +38,7 @@
 from bankrudder.failures import FailureReason
 from bankrudder.fleet import Generation
 from bankrudder.routing import ModelName
-from bankrudder.steps._values import StepOrder
+from bankrudder.steps._values import StepSpec
 from bankrudder.store import StoreUnavailableError, told_as_failures
 from bankrudder.world import (
     Caller,
@@ -100,14 +100,14 @@
         self._clock = clock
 
     async def open(
-        self, trainer: Caller, order: StepOrder
+        self, trainer: Caller, spec: StepSpec
     ) -> AsyncGenerator[StepSample | StepEnd, None]:
         """Yield each sample that the trainer does not hold, then the `StepEnd`.
 
         Raises
         ------
         InvalidError
-            If the order is invalid, or the step was opened with other prompts.
+            If the spec is invalid, or the step was opened with other prompts.
         NotRunError
             If this host cannot open the step now; another host may be able to.
         OutcomeUnknownError
@@ -115,13 +115,13 @@
         FailedError
             If samples were aborted; all other samples were delivered.
         """
-        job = self._job_of_trainer(trainer, order.job)
-        _check_shape(order)
-        batch = self._build_batch(trainer, job, order)
-        await self._accept_batch(batch, order)
+        job = self._job_of_trainer(trainer, spec.job)
+        _check_shape(spec)
+        batch = self._build_batch(trainer, job, spec)
+        await self._accept_batch(batch, spec)
         delivered_count = 0
-        async for sample in self._stream_samples(batch.id, order.shape):
-            if sample.slot not in order.held:
+        async for sample in self._stream_samples(batch.id, spec.shape):
+            if sample.slot not in spec.held:
                 delivered_count += 1
                 yield sample
         yield StepEnd(delivered_count)
@@ -176,26 +176,26 @@
         self._placement.check(index.allowed(job.data_class))
         return job
 
-    def _build_batch(self, trainer: Caller, job: Job, order: StepOrder) -> Batch:
+    def _build_batch(self, trainer: Caller, job: Job, spec: StepSpec) -> Batch:
         index = self._configuration.index
         pool = index.pool(job.pool)
         route = job_route(pool, job, tuple(sorted(index.allowed(job.data_class))))
         model = model_of(pool, job)
         priority = index.caller_class(job.caller_class).priority
-        generation = Generation(model, order.max_tokens or job.max_tokens, priority)
-        min_version = _min_version(job, order.current_version)
-        batch_id = _batch_id(job.name, order.step, min_version)
-        id_prefix = f"step.{job.name}.{order.step}"
+        generation = Generation(model, spec.max_tokens or job.max_tokens, priority)
+        min_version = _min_version(job, spec.current_version)
+        batch_id = _batch_id(job.name, spec.step, min_version)
+        id_prefix = f"step.{job.name}.{spec.step}"
         samples = tuple(
             Sample(
                 id=SampleId(f"{id_prefix}.{slot.group}.{slot.index}"),
-                target=f"{route.path_prefix}{order.step}",
+                target=f"{route.path_prefix}{spec.step}",
                 headers=(),
-                body=order.prompts[slot.group],
+                body=spec.prompts[slot.group],
                 group=GroupId(f"{id_prefix}.{slot.group}"),
                 generation=generation,
             )
-            for slot in sorted(order.shape.slots)
+            for slot in sorted(spec.shape.slots)
         )
         return Batch(
             id=batch_id,
@@ -203,14 +203,14 @@
             host=route.host,
             model=model,
             min_version=min_version,
-            target_groups=len(order.prompts),
+            target_groups=len(spec.prompts),
             samples=samples,
             data_centres=route.data_centres,
-            trace=order.trace,
+            trace=spec.trace,
             workspace=trainer.workspace,
         )
 
-    async def _accept_batch(self, batch: Batch, order: StepOrder) -> None:
+    async def _accept_batch(self, batch: Batch, spec: StepSpec) -> None:
         unsettled = (
             "the store gave no reply; the step may be open and may be opened again"
         )
@@ -220,7 +220,7 @@
                 return
         raise InvalidError(
             FailureReason.STEP_CONFLICT,
-            f"step {order.step} of job {order.job} was opened with other prompts",
+            f"step {spec.step} of job {spec.job} was opened with other prompts",
             field="groups",
         )
 
@@ -282,14 +282,14 @@
                 return page.results, page.next_position
 
 
-def _check_shape(order: StepOrder) -> None:
-    if not order.prompts or order.samples_per_group < 1:
+def _check_shape(spec: StepSpec) -> None:
+    if not spec.prompts or spec.samples_per_group < 1:
         raise InvalidError(
             FailureReason.BAD_REQUEST,
             "at least one prompt and one sample per group are required",
             field="groups",
         )
-    count = len(order.prompts) * order.samples_per_group
+    count = len(spec.prompts) * spec.samples_per_group
     if count > MAX_SAMPLES_PER_STEP:
         raise InvalidError(
             FailureReason.TOO_LARGE,
--- a/src/bankrudder/steps/_values.py
+++ b/src/bankrudder/steps/_values.py
@@ -11,7 +11,7 @@
 )
 
 
-class StepOrder(msgspec.Struct, frozen=True):
+class StepSpec(msgspec.Struct, frozen=True):
     """Parameters with which a trainer opens a step.
 
     Attributes
@@ -25,7 +25,7 @@
     max_tokens : int
         Most tokens of a sample, 0 for the limit of the job.
     trace : str
-        W3C ``traceparent`` of the span that received the order, or empty.
+        W3C ``traceparent`` of the span that received the request, or empty.
     """
 
     job: JobName
--- a/tests/calls/test_admission.py
+++ b/tests/calls/test_admission.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bankrudder.calls import ClassAdmission, ClassPolicy
+from bankrudder.calls import AdmissionController, ClassPolicy
 from bankrudder.calls._admission import QueueKey
 from bankrudder.exceptions import NotRunError
 from bankrudder.failures import FailureReason
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def admission(directory, hand_clock):
-    return ClassAdmission(directory, hand_clock)
+    return AdmissionController(directory, hand_clock)
 
 
 async def hold_slot(admission, own_class, order, release):
--- a/tests/calls/test_once.py
+++ b/tests/calls/test_once.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bankrudder.calls._once import OnceRunner
+from bankrudder.calls._once import AtMostOnceRunner
 from bankrudder.exceptions import NotRunError
 from bankrudder.failures import FailureReason
 from bankrudder.world import SystemClock
@@ -32,7 +32,7 @@
 
 async def test_a_hanging_store_does_not_delay_the_refusal_past_the_deadline():
     clock = SystemClock()
-    runner = OnceRunner(HangingRecords(), FakePresence(), clock)
+    runner = AtMostOnceRunner(HangingRecords(), FakePresence(), clock)
     began = time.monotonic()
     with pytest.raises(NotRunError) as caught:
         await runner.run("k", b"f", clock.monotonic() + 0.4, fail_if_sent)
@@ -42,6 +42,6 @@
 
 async def test_a_request_close_to_its_deadline_is_refused():
     clock = SystemClock()
-    runner = OnceRunner(HangingRecords(), FakePresence(), clock)
+    runner = AtMostOnceRunner(HangingRecords(), FakePresence(), clock)
     with pytest.raises(NotRunError):
         await runner.run("k", b"f", clock.monotonic() + 0.05, fail_if_sent)
--- a/tests/calls/test_records.py
+++ b/tests/calls/test_records.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from bankrudder.calls import CallCleaner
+from bankrudder.calls import CallRecordCleaner
 from bankrudder.calls._keys import record_name, record_timestamp
 from bankrudder.calls._values import CallRecord, RecordState
 from bankrudder.client import new_key
@@ -64,7 +64,7 @@
     old = record_name("broker", "00000001-0000-7000-8000-000000000000")
     for name in (old, NAME):
         await records.begin(name, RECORD, 1.0)
-    cleaner = CallCleaner(records, ValidLease(), lambda: 60.0, SystemClock())
+    cleaner = CallRecordCleaner(records, ValidLease(), lambda: 60.0, SystemClock())
     await cleaner.clean()
     assert await records.names() == (NAME,)
 
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bankrudder.calls._keys import minted_at
+from bankrudder.calls._keys import key_timestamp
 from bankrudder.client import Caller, CallerSettings, new_key
 from bankrudder.client._channel import MAX_MESSAGE_BYTES
 from bankrudder.client._repeats import GiveUp, Repeats
@@ -84,7 +84,7 @@
 def test_keys_minted_in_a_burst_differ_and_are_not_from_the_future():
     keys = [new_key() for _ in range(BURST_KEYS)]
     assert len(set(keys)) == BURST_KEYS
-    assert minted_at(keys[-1]) <= time.time()
+    assert key_timestamp(keys[-1]) <= time.time()
 
 
 async def test_an_answer_is_put_together_and_checked(node, caller):
