--- a/src/bankrudder/relay/__init__.py
+++ b/src/bankrudder/relay/__init__.py
@@ -1,8 +1,8 @@
-"""Requests of callers: what they are, and forwarding them to endpoints."""
+"""Caller requests and their replies, and the forwarding of requests to endpoints."""
 
 from bankrudder.relay._forwarder import Forwarder
 from bankrudder.relay._metering import NoMeter, RunMeter
-from bankrudder.relay._stream_run import StreamStarted
+from bankrudder.relay._stream_attempt import StreamStarted
 from bankrudder.relay._streaming import StreamForwarder
 from bankrudder.relay._values import (
     IncomingRequest,
--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -1,4 +1,4 @@
-"""The sends of one request: which endpoint next, when, and what to make of each."""
+"""The attempts of one request: endpoint selection, timing and outcome handling."""
 
 import asyncio
 from datetime import timedelta
@@ -22,9 +22,9 @@
     within_run,
 )
 from bankrudder.observe import Tracer
-from bankrudder.relay._hedging import hedge_after
+from bankrudder.relay._hedging import hedge_delay
 from bankrudder.relay._metering import RunMeter
-from bankrudder.relay._outcomes import describe, note_outcome, refusal_of
+from bankrudder.relay._outcomes import crash_refusal, describe, note_outcome
 from bankrudder.relay._values import (
     IncomingRequest,
     NotRun,
@@ -36,37 +36,37 @@
 from bankrudder.routing import Route, RouteKind, ServiceName
 from bankrudder.world import Clock
 
-ANSWER_MARGIN_S = 0.03
-"""Time kept for sending the reply, so that it arrives before the deadline."""
+REPLY_MARGIN_S = 0.03
+"""Time reserved for sending the reply, so that it arrives before the deadline."""
 
 MIN_SEND_S = 0.02
-"""A request with less time left than this is not sent any more."""
+"""Minimum time left before the deadline for another attempt to be made."""
 
 SUSPECT_PAUSE_S = 0.02
-"""Pause of a request under which endpoints ended while another such request is at each
-endpoint that is left: a part of a usual answer."""
+"""Pause of a suspect, a request during which endpoints crashed, while every remaining
+endpoint works on another suspect. It is a fraction of a typical response time."""
 
 MAX_REFUSALS = 6
-"""Endpoints that may refuse one request before it is given up."""
+"""Number of endpoint refusals after which a request is given up."""
 
-FULL_PAUSE_S = 0.04
-"""Pause once all endpoints were full: about a usual answer, after which one of them
-has a slot. Without it a request is refused within some milliseconds."""
+ALL_FULL_PAUSE_S = 0.04
+"""Pause once all endpoints were full: about a typical response time, after which one of
+them has a free slot. Without it a request is refused within a few milliseconds."""
 
 RETRY_AFTER_S = 0.25
-"""When to come back after a refusal: a few times the usual answer, in which a
-full endpoint finishes what it runs."""
+"""Retry delay sent with a refusal: a few times a typical response time, in which a full
+endpoint finishes the requests that it runs."""
 
 _log = structlog.get_logger("relay")
 
 
 class Attempts:
-    """All sends of one request.
+    """All attempts to get one request answered.
 
     An idempotent request may be sent to a second endpoint while the first has not
-    answered, and again after a failure, to no more endpoints than its route allows. Any
-    other one is sent again only while it surely did not run. One under which endpoints
-    end is sent as far as `CrashGuard` allows, whatever its route allows.
+    answered, and sent again after a failure, to at most as many endpoints as its route
+    allows. Any other request is sent again only if it certainly did not run. A request
+    during which endpoints crash is further limited by `CrashGuard`.
     """
 
     def __init__(
@@ -94,33 +94,33 @@
         self._deadline = route_deadline(request, route)
         self._sends: dict[asyncio.Task[SendOutcome], Send] = {}
         self._tried: list[EndpointId] = []
-        self._runs = 0
-        self._refusals = 0
-        self._failed_answers = 0
+        self._run_count = 0
+        self._refusal_count = 0
+        self._failed_answer_count = 0
         self._is_answered = False
-        self._last_answer: tuple[Answered, TrackedEndpoint] | None = None
+        self._last_error_answer: tuple[Answered, TrackedEndpoint] | None = None
 
     @cached_property
     def _content(self) -> ContentId:
         return self._request.content
 
     async def reply(self) -> Reply:
-        """Send until there is an answer, or none can come any more."""
+        """Send the request until it is answered or no further attempt is allowed."""
         try:
             while True:
                 self._send_next()
                 if not self._sends:
-                    if not self._must_wait():
+                    if not self._must_wait_for_suspects():
                         return self._give_up()
                     await asyncio.sleep(SUSPECT_PAUSE_S)
                     continue
                 done = await self._next_outcome()
                 if done is not None:
-                    reply = await self._take(*done)
+                    reply = await self._handle_outcome(*done)
                     if reply is not None:
                         return reply
                 elif self._left_s() <= 0:
-                    self._runs += len(self._sends)
+                    self._run_count += len(self._sends)
                     return self._give_up()
         finally:
             self._crashes.tell(self._content)
@@ -129,7 +129,7 @@
                 self._meter.note_begun(self._request.workspace, self._began_at)
 
     def _cancel(self) -> None:
-        """Break off all sends; their endpoints see the connections close."""
+        """Cancel all pending attempts, which closes their connections."""
         for task, send in self._sends.items():
             task.cancel()
             if not self._is_answered:
@@ -137,7 +137,7 @@
                 self._crashes.note_left(send)
 
     def _note_begun(self, send: Send) -> None:
-        """Note when the request began to run, or may have: at the first such send."""
+        """Record the start of the first attempt that ran or may have run."""
         if self._began_at is None:
             self._began_at = send.began
 
@@ -151,18 +151,18 @@
         if target is None:
             return
         self._tried.append(target.endpoint.id)
-        leave = target.occupy(is_suspect)
+        release = target.occupy(is_suspect)
         task = asyncio.ensure_future(self._send(target))
-        task.add_done_callback(lambda _: leave())
+        task.add_done_callback(lambda _: release())
         self._sends[task] = Send(self._content, target, self._clock.monotonic())
 
     def _may_send(self) -> bool:
-        sent = self._runs + len(self._sends)
+        sent = self._run_count + len(self._sends)
         return (
             self._left_s() >= MIN_SEND_S
-            and self._refusals < MAX_REFUSALS
+            and self._refusal_count < MAX_REFUSALS
             and sent < self._route.max_attempts
-            and (sent == 0 or self._may_repeat())
+            and (sent == 0 or self._is_idempotent())
             and self._is_admitted()
         )
 
@@ -178,8 +178,8 @@
     def _is_suspect(self) -> bool:
         return self._verdict().admission is Admission.ALONE
 
-    def _must_wait(self) -> bool:
-        """Whether only other suspects keep the request from all endpoints."""
+    def _must_wait_for_suspects(self) -> bool:
+        """Whether the request can be sent only once another suspect has finished."""
         return (
             self._is_suspect()
             and self._may_send()
@@ -192,7 +192,7 @@
     async def _send(self, target: TrackedEndpoint) -> SendOutcome:
         began = self._clock.monotonic()
         outgoing = self._request.outgoing(
-            self._left_s(), may_reuse_connection=self._may_repeat()
+            self._left_s(), may_reuse_connection=self._is_idempotent()
         )
         span = self._tracer.span(
             "relay.attempt",
@@ -201,12 +201,12 @@
             endpoint=target.endpoint.id,
         )
         with span:
-            outcome = await self._sent(target, outgoing)
+            outcome = await self._send_within_run(target, outgoing)
             span.set(outcome=describe(outcome))
         note_outcome(target, outcome, began, self._clock.monotonic())
         return outcome
 
-    async def _sent(
+    async def _send_within_run(
         self, target: TrackedEndpoint, outgoing: OutgoingRequest
     ) -> SendOutcome:
         try:
@@ -216,26 +216,29 @@
             return Lost(LossReason.ENDPOINT_RESTARTED)
 
     async def _next_outcome(self) -> tuple[SendOutcome, Send] | None:
-        """Wait for a send to end; None when it is time for another one, or too late."""
+        """Wait for an attempt to end.
+
+        Returns None at the time for a hedged attempt and at the deadline.
+        """
         wait_s = self._left_s()
         if self._may_send():
-            wait_s = min(wait_s, self._hedge_s())
+            wait_s = min(wait_s, self._hedge_delay_s())
         done, _ = await asyncio.wait(
             self._sends, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED
         )
         if not done:
             return None
-        # An answer goes before a failure that came in the same moment.
+        # An answer takes precedence over a failure that arrived at the same time.
         task = min(done, key=lambda each: not isinstance(each.result(), Answered))
         return task.result(), self._sends.pop(task)
 
-    def _hedge_s(self) -> float:
-        usual_s = self._directory.usual_latency_s(self._service)
-        usual = None if usual_s is None else timedelta(seconds=usual_s)
+    def _hedge_delay_s(self) -> float:
+        mean_s = self._directory.usual_latency_s(self._service)
+        mean_latency = None if mean_s is None else timedelta(seconds=mean_s)
         target = timedelta(seconds=self._route.target_s)
-        return hedge_after(target, usual).total_seconds()
+        return hedge_delay(target, mean_latency).total_seconds()
 
-    async def _take(self, outcome: SendOutcome, send: Send) -> Relayed | None:
+    async def _handle_outcome(self, outcome: SendOutcome, send: Send) -> Relayed | None:
         """Return the reply if the outcome is final."""
         target = send.target
         match outcome:
@@ -246,14 +249,14 @@
                 self._log_answer(outcome, target)
                 return self._relayed(outcome, target)
             case Answered():
-                self._runs += 1
+                self._run_count += 1
                 self._note_begun(send)
-                self._failed_answers += 1
-                self._last_answer = (outcome, target)
+                self._failed_answer_count += 1
+                self._last_error_answer = (outcome, target)
             case Refused():
-                self._refusals += 1
+                self._refusal_count += 1
             case Lost():
-                self._runs += 1
+                self._run_count += 1
                 self._note_begun(send)
                 await self._crashes.note_lost(send, outcome.reason)
         _log.info(
@@ -263,14 +266,14 @@
             content=self._content,
             endpoint=target.endpoint.id,
             outcome=describe(outcome),
-            runs=self._runs,
-            refusals=self._refusals,
+            runs=self._run_count,
+            refusals=self._refusal_count,
             others=target.in_flight,
         )
-        if isinstance(outcome, Answered) and not self._may_repeat():
+        if isinstance(outcome, Answered) and not self._is_idempotent():
             return self._relayed(outcome, target)
         if isinstance(outcome, Refused) and self._were_all_tried():
-            await asyncio.sleep(min(FULL_PAUSE_S, self._left_s()))
+            await asyncio.sleep(min(ALL_FULL_PAUSE_S, self._left_s()))
         return None
 
     def _were_all_tried(self) -> bool:
@@ -280,9 +283,9 @@
         return self._directory.of_service(self._service, self._route.data_centres)
 
     def _give_up(self) -> Reply:
-        if self._last_answer is not None:
-            return self._relayed(*self._last_answer)
-        reply = self._unanswered() if self._runs else self._not_run()
+        if self._last_error_answer is not None:
+            return self._relayed(*self._last_error_answer)
+        reply = self._unanswered() if self._run_count else self._not_run()
         _log.warning(
             "relay: request given up",
             request=self._request.request_id,
@@ -290,7 +293,7 @@
             content=self._content,
             service=self._service,
             reason=reply.reason.value,
-            runs=self._runs,
+            runs=self._run_count,
             left_s=round(self._left_s(), 3),
         )
         return reply
@@ -301,7 +304,7 @@
         return Unanswered(RejectReason.ENDPOINT_FAILED, False)
 
     def _not_run(self) -> NotRun:
-        refusal = refusal_of(self._verdict())
+        refusal = crash_refusal(self._verdict())
         if refusal is not None:
             return refusal
         reason = RejectReason.FULL if self._endpoints() else RejectReason.NO_ENDPOINT
@@ -313,7 +316,7 @@
             answer.headers,
             answer.body,
             answer.proof,
-            self._failed_answers,
+            self._failed_answer_count,
             target.endpoint.id,
         )
 
@@ -328,7 +331,7 @@
             left_s=round(self._left_s(), 3),
         )
 
-    def _may_repeat(self) -> bool:
+    def _is_idempotent(self) -> bool:
         return self._route.kind is RouteKind.IDEMPOTENT
 
     def _left_s(self) -> float:
@@ -336,6 +339,6 @@
 
 
 def route_deadline(request: IncomingRequest, route: Route) -> float:
-    """Return the time by which the caller must have a first answer."""
+    """Return the monotonic time by which the caller must have a first answer."""
     deadline = min(request.deadline, request.received_at + route.timeout_s)
-    return deadline - ANSWER_MARGIN_S
+    return deadline - REPLY_MARGIN_S
--- a/src/bankrudder/relay/_forwarder.py
+++ b/src/bankrudder/relay/_forwarder.py
@@ -9,7 +9,7 @@
 from bankrudder.observe import Tracer
 from bankrudder.relay._attempts import Attempts
 from bankrudder.relay._metering import NoMeter, RunMeter
-from bankrudder.relay._outcomes import refusal_of
+from bankrudder.relay._outcomes import crash_refusal
 from bankrudder.relay._values import IncomingRequest, NotRun, Reply
 from bankrudder.routing import Route, ServiceName
 from bankrudder.world import Clock
@@ -39,7 +39,7 @@
         self._rng = rng or random.Random()
 
     def pick_service(self, route: Route) -> ServiceName:
-        """Draw a service by the route's weights."""
+        """Choose a service at random by the route's weights."""
         services = route.services
         weights = [max(each.weight, 0.0) for each in services]
         if len(services) == 1 or not any(weights):
@@ -47,12 +47,12 @@
         return self._rng.choices(services, weights)[0].service
 
     def refusal(self, request: IncomingRequest) -> NotRun | None:
-        """Return why a request would be refused whatever endpoints are there.
+        """Return the refusal of a request that may go to no endpoint, else None.
 
-        For callers of `forward` who would make it wait for a place first.
+        Callers of `forward` that queue requests check this before queueing one.
         """
         verdict = self._crashes.verdict(request.content)
-        refusal = refusal_of(verdict)
+        refusal = crash_refusal(verdict)
         if refusal is None:
             return None
         _log.warning(
@@ -66,7 +66,7 @@
         return refusal
 
     async def forward(self, request: IncomingRequest, route: Route) -> Reply:
-        """Return an endpoint's answer, or why there is none."""
+        """Return an endpoint's answer, or the reason why there is none."""
         attempts = Attempts(
             request,
             route,
--- a/src/bankrudder/relay/_hedging.py
+++ b/src/bankrudder/relay/_hedging.py
@@ -1,46 +1,47 @@
-"""When an idempotent request goes to a second endpoint as well.
-
-Pattern: most answers of a service take about as long, a few take several times
-longer, and now and then an endpoint hangs. A second send helps against the last only.
-Sent while the first one may still be answered as usual, it takes a second slot for the
-same work, opens a connection, and the one that loses is closed.
-
-Answer: the second send waits until the first one takes much longer than what the
-service's endpoints usually take, and at the earliest for half of the time in which an
-answer is most useful. For answers of 0.2 s, spread as widely as a factor of 1.6, and a
-target of 0.8 s, 1 % of the requests are sent twice in place of 5 %.
+"""The delay after which an idempotent request is hedged, sent to a second endpoint.
+
+Most answers of a service take a similar time, a few take several times longer, and
+occasionally an endpoint hangs. Hedging helps only against a hanging endpoint. A hedge
+that is sent while the first attempt may still be answered in the ordinary way occupies
+a second slot for the same work and opens a connection, and the connection of the slower
+attempt is closed.
+
+A hedge therefore waits until the first attempt takes much longer than the mean latency
+of the service's endpoints, and at least half of the route's target. For answers of
+0.2 s that are spread by a factor of 1.6, and a target of 0.8 s, this sends 1 % of the
+requests twice, in place of 5 % with half of the target alone.
 """
 
 from datetime import timedelta
 
-TARGET_SHARE = 0.5
-"""Share of a route's target after which a second endpoint is asked at the earliest:
-early enough for a whole answer within the target."""
+MIN_TARGET_SHARE = 0.5
+"""Earliest time for a hedge, as a share of the route's target: early enough for a
+complete answer within the target."""
 
-USUAL_FACTOR = 3.0
-"""So many times as long as usual an answer takes once in a hundred, where answers are
-spread by a factor of 1.6 around the usual time."""
+MEAN_LATENCY_FACTOR = 3.0
+"""Multiple of the mean latency after which a hedge is sent. One answer in a hundred
+takes this long where answers are spread by a factor of 1.6 around the mean."""
 
-LATEST_SHARE = 0.9
-"""Share of a route's target after which a second endpoint is asked at the latest: what
-is usual may have been learned from other, longer requests."""
+MAX_TARGET_SHARE = 0.9
+"""Latest time for a hedge, as a share of the route's target: the mean latency may stem
+from other requests that take longer."""
 
-LEAST = timedelta(milliseconds=60)
-"""Shortest such time: three times the usual answer of a quick service."""
+MIN_HEDGE_DELAY = timedelta(milliseconds=60)
+"""Shortest delay of a hedge: three times the typical latency of a fast service."""
 
 
-def hedge_after(target: timedelta, usual: timedelta | None) -> timedelta:
-    """Return the time after which a request goes to a second endpoint.
+def hedge_delay(target: timedelta, mean_latency: timedelta | None) -> timedelta:
+    """Return the delay after which a request is sent to a second endpoint.
 
     Parameters
     ----------
     target : timedelta
-        Time within which an answer is most useful.
-    usual : timedelta or None
-        How long the service's endpoints usually take, None before the first answer.
+        Latency target of the route.
+    mean_latency : timedelta or None
+        Mean latency of the service's endpoints, None before the first answer.
     """
-    earliest = max(TARGET_SHARE * target, LEAST)
-    if usual is None:
+    earliest = max(MIN_TARGET_SHARE * target, MIN_HEDGE_DELAY)
+    if mean_latency is None:
         return earliest
-    latest = max(LATEST_SHARE * target, earliest)
-    return min(max(USUAL_FACTOR * usual, earliest), latest)
+    latest = max(MAX_TARGET_SHARE * target, earliest)
+    return min(max(MEAN_LATENCY_FACTOR * mean_latency, earliest), latest)
--- a/src/bankrudder/relay/_metering.py
+++ b/src/bankrudder/relay/_metering.py
@@ -1,4 +1,4 @@
-"""Counting of the requests that endpoints began to run."""
+"""The interface for counting requests that endpoints began to run."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class RunMeter(Protocol):
-    """Takes note of requests that began to run."""
+    """Counts requests that began to run."""
 
     def note_begun(self, workspace: WorkspaceName, began_at: float) -> None:
         """Count a request of a workspace that began at a monotonic time."""
@@ -14,7 +14,7 @@
 
 
 class NoMeter:
-    """Counts nothing, where nobody asks for it."""
+    """A `RunMeter` that counts nothing, the default of the forwarders."""
 
     def note_begun(self, workspace: WorkspaceName, began_at: float) -> None:
         """Do nothing."""
--- a/src/bankrudder/relay/_outcomes.py
+++ b/src/bankrudder/relay/_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a send, for later choices, for log lines, and for refusals."""
+"""Handling of attempt outcomes: endpoint statistics, log texts and crash refusals."""
 
 import structlog
 
@@ -17,8 +17,8 @@
 _log = structlog.get_logger("relay")
 
 
-def refusal_of(verdict: Verdict) -> NotRun | None:
-    """Return the reply to a request that may not be sent, None if it may."""
+def crash_refusal(verdict: Verdict) -> NotRun | None:
+    """Return the reply to a request that is refused for crashes, None if it is not."""
     if verdict.admission is not Admission.REFUSED:
         return None
     return NotRun(RejectReason.CRASHES_ENDPOINTS, verdict.retry_after_s)
@@ -27,7 +27,7 @@
 def note_outcome(
     target: TrackedEndpoint, outcome: SendOutcome, began: float, now: float
 ) -> None:
-    """Let what became of a send count in the later choices of its endpoint."""
+    """Record the outcome of an attempt in the statistics of its endpoint."""
     match outcome:
         case Answered():
             if outcome.load is not None:
@@ -40,14 +40,15 @@
         case Refused(reason=RefusalReason.REJECTED):
             pass
         case Lost(reason=LossReason.ENDPOINT_RESTARTED):
-            pass  # its later run did not fail
+            pass  # The endpoint's new run did not fail.
         case _:
-            was_left_out = target.is_suspended(now)
+            was_suspended = target.is_suspended(now)
             seconds = target.note_failure(now)
-            if was_left_out:
-                return  # a line for each send there hides the lines that matter
+            if was_suspended:
+                # One line per suspension; a line per attempt would hide other lines.
+                return
             _log.info(
-                "relay: endpoint left out",
+                "relay: endpoint suspended",
                 endpoint=target.endpoint.id,
                 outcome=describe(outcome),
                 seconds=seconds,
@@ -55,7 +56,7 @@
 
 
 def describe(outcome: SendOutcome) -> str:
-    """Return what became of a send, for a log line."""
+    """Return the outcome of an attempt as a text for log lines and spans."""
     match outcome:
         case Answered(status=status):
             return f"status {status}"
--- a/src/bankrudder/relay/_stream_run.py
+++ b/src/bankrudder/relay/_stream_attempt.py
@@ -1,4 +1,4 @@
-"""One stream at one endpoint, and what a caller gets of it."""
+"""One attempt to stream from an endpoint, and the stream that a caller receives."""
 
 from collections.abc import AsyncIterator
 from contextlib import AsyncExitStack
@@ -17,7 +17,10 @@
 
 
 class StreamStarted(msgspec.Struct, frozen=True):
-    """An endpoint streams; ``events`` raises `StreamBrokenError` if it ends early."""
+    """A stream that has begun.
+
+    ``events`` raises `StreamBrokenError` if the stream ends early and is not resumed.
+    """
 
     status: int
     headers: Headers
@@ -25,8 +28,8 @@
     events: AsyncIterator[StreamEvent]
 
 
-class StreamRun:
-    """One stream at one endpoint, open until `close`."""
+class StreamAttempt:
+    """One stream at one endpoint, which counts as in flight there until `close`."""
 
     def __init__(self, send: Send, is_suspect: bool):
         self.send = send
--- a/src/bankrudder/relay/_streaming.py
+++ b/src/bankrudder/relay/_streaming.py
@@ -1,4 +1,4 @@
-"""Forwarding of requests whose answer is a stream of events."""
+"""Forwarding of requests that are answered with a stream of events."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -31,8 +31,8 @@
     route_deadline,
 )
 from bankrudder.relay._metering import NoMeter, RunMeter
-from bankrudder.relay._outcomes import refusal_of
-from bankrudder.relay._stream_run import StreamRun, StreamStarted
+from bankrudder.relay._outcomes import crash_refusal
+from bankrudder.relay._stream_attempt import StreamAttempt, StreamStarted
 from bankrudder.relay._values import (
     IncomingRequest,
     NotRun,
@@ -44,15 +44,18 @@
 from bankrudder.routing import Route, ServiceName
 from bankrudder.world import Clock
 
-GAP_TIMEOUT_S = 1.5
-"""Longest wait for the next event of a stream that may go on elsewhere: below the
-two seconds after which callers leave at the earliest."""
+EVENT_GAP_TIMEOUT_S = 1.5
+"""Longest wait for the next event of a stream that may be resumed at another endpoint:
+below the two seconds after which callers give up at the earliest."""
 
 _log = structlog.get_logger("relay")
 
 
 class StreamForwarder:
-    """Sends requests for streams; one that may be resumed goes on elsewhere."""
+    """Forwards streaming requests and resumes broken streams at other endpoints.
+
+    Only streams of routes that allow it are resumed.
+    """
 
     def __init__(
         self,
@@ -71,8 +74,8 @@
     async def forward(
         self, request: IncomingRequest, route: Route, service: ServiceName
     ) -> StreamStarted | Reply:
-        """Return the stream of an endpoint, or why there is none."""
-        runs = _Runs(
+        """Return the stream of an endpoint, or the reply if there is none."""
+        attempts = _StreamAttempts(
             request,
             route,
             service,
@@ -83,20 +86,20 @@
             self._meter,
         )
         try:
-            outcome = await runs.open_first()
+            outcome = await attempts.open_first()
         except asyncio.CancelledError:
-            # The caller left: its place at the endpoint is free again.
-            await runs.leave()
+            # The caller disconnected: the slot at the endpoint must be released.
+            await attempts.finish()
             raise
         if not isinstance(outcome, OpenedStream):
             return outcome
         return StreamStarted(
-            outcome.status, outcome.headers, outcome.version, runs.events(outcome)
+            outcome.status, outcome.headers, outcome.version, attempts.events(outcome)
         )
 
 
-class _Runs:
-    """The runs of one request, one after the other."""
+class _StreamAttempts:
+    """The attempts of one streaming request, one at a time."""
 
     def __init__(
         self,
@@ -119,43 +122,46 @@
         self._directory = directory
         self._client = client
         self._clock = clock
-        # The route's time is that to the first event; a stream may last longer.
+        # The route's timeout applies to the first event; a stream may last longer.
         self._deadline = route_deadline(request, route)
         self._tried: list[EndpointId] = []
-        self._count = 0
-        self._refusals = 0
-        self._last_number = request.resume_after
-        self._run: StreamRun | None = None
+        self._run_count = 0
+        self._refusal_count = 0
+        self._last_event_number = request.resume_after
+        self._attempt: StreamAttempt | None = None
         self._is_answered = False
 
     async def open_first(self) -> OpenedStream | Reply:
-        """Open the stream; what is returned otherwise is final."""
+        """Open the stream, or return the final reply if that fails."""
         while True:
             outcome = await self._open_next()
             match outcome:
                 case OpenedStream():
                     return outcome
-                case Answered() if outcome.status < 500 or not self._may_go_on():
+                case Answered() if outcome.status < 500 or not self._may_resume():
                     await self._close()
                     return Relayed(
                         outcome.status, outcome.headers, outcome.body, outcome.proof
                     )
                 case None:
-                    return self._given_up()
-                case Lost() if not self._may_go_on():
+                    return self._give_up()
+                case Lost() if not self._may_resume():
                     await self._close()
-                    return self._given_up()
+                    return self._give_up()
             await self._close()
 
     async def events(self, opened: OpenedStream) -> AsyncIterator[StreamEvent]:
-        """Yield the events as they come, from run after run."""
+        """Yield the events as they arrive, across resumed attempts."""
         try:
             while True:
                 try:
-                    async for event in self._timed(opened, self._run):
-                        if event.number <= self._last_number:
-                            raise StreamBrokenError("event came again")
-                        self._last_number = event.number
+                    async for event in self._events_with_timeout(opened, self._attempt):
+                        if event.number <= self._last_event_number:
+                            raise StreamBrokenError(
+                                f"event {event.number} arrived after event"
+                                f" {self._last_event_number}"
+                            )
+                        self._last_event_number = event.number
                         self._note_begun()
                         self._deadline = self._request.deadline
                         yield event
@@ -168,19 +174,19 @@
                 except TimeoutError:
                     opened = await self._resume("no event in time")
         finally:
-            await self.leave()
+            await self.finish()
 
     def _note_begun(self) -> None:
-        """Note that the request runs: it does from its first event on."""
+        """Count the request as running, once, at its first event."""
         if not self._has_begun:
             self._has_begun = True
             self._meter.note_begun(self._request.workspace, self._clock.monotonic())
 
-    async def leave(self) -> None:
-        """End the run that is open, if any."""
+    async def finish(self) -> None:
+        """Close the open attempt, if any, and report the request to the crash guard."""
         self._crashes.tell(self._content)
-        if self._run is not None and not self._is_answered:
-            self._crashes.note_left(self._run.send)
+        if self._attempt is not None and not self._is_answered:
+            self._crashes.note_left(self._attempt.send)
         await self._close()
 
     async def _resume(self, reason: str) -> OpenedStream:
@@ -189,12 +195,12 @@
             request=self._request.request_id,
             workspace=self._request.workspace,
             content=self._content,
-            endpoint=self._run.target.endpoint.id if self._run else "",
-            last_event=self._last_number,
+            endpoint=self._attempt.target.endpoint.id if self._attempt else "",
+            last_event=self._last_event_number,
             reason=reason,
             is_resumable=self._route.is_resumable,
         )
-        while self._may_go_on():
+        while self._may_resume():
             await self._close()
             outcome = await self._open_next()
             if isinstance(outcome, OpenedStream):
@@ -203,63 +209,74 @@
                 break
         raise StreamBrokenError(reason)
 
-    async def _timed(
-        self, opened: OpenedStream, run: StreamRun | None
+    async def _events_with_timeout(
+        self, opened: OpenedStream, attempt: StreamAttempt | None
     ) -> AsyncIterator[StreamEvent]:
-        assert run is not None  # closed only once its events are not read any more
+        assert attempt is not None  # It is closed only after its events were read.
         while True:
             left_s = self._left_s()
-            limit_s = min(GAP_TIMEOUT_S, left_s) if self._may_go_on() else left_s
+            limit_s = min(EVENT_GAP_TIMEOUT_S, left_s) if self._may_resume() else left_s
             try:
-                async with within_run(run.target), asyncio.timeout(limit_s):
+                async with within_run(attempt.target), asyncio.timeout(limit_s):
                     event = await anext(opened.events)
             except StopAsyncIteration:
                 return
             except RunEndedError:
-                raise StreamBrokenError("the endpoint started again") from None
+                raise StreamBrokenError("the endpoint restarted") from None
             yield event
 
     async def _open_next(self) -> StreamOutcome | None:
-        """Open a run at the next endpoint; None if there is none or no time."""
-        if self._refusals >= MAX_REFUSALS or self._admission() is Admission.REFUSED:
+        """Open a stream at the next endpoint.
+
+        Returns None if no endpoint is available, allowed or reachable before the
+        deadline.
+        """
+        if (
+            self._refusal_count >= MAX_REFUSALS
+            or self._admission() is Admission.REFUSED
+        ):
             return None
         target = await self._choose()
         if target is None or self._left_s() < MIN_SEND_S:
             return None
         self._tried.append(target.endpoint.id)
         send = Send(self._content, target, self._clock.monotonic())
-        self._run = StreamRun(send, self._admission() is Admission.ALONE)
-        outcome = await self._opened(self._run)
+        self._attempt = StreamAttempt(send, self._admission() is Admission.ALONE)
+        outcome = await self._open_attempt(self._attempt)
         match outcome:
             case Refused(reason=reason):
-                self._refusals += 1
+                self._refusal_count += 1
                 if reason is not RefusalReason.FULL:
                     target.note_failure(self._clock.monotonic())
             case Lost(reason=lost):
-                self._count += 1
+                self._run_count += 1
                 target.note_failure(self._clock.monotonic())
                 await self._note_lost(lost)
             case Answered(status=status):
-                self._count += 1
+                self._run_count += 1
                 if status < 500:
                     self._crashes.note_answer(self._content)
             case _:
-                self._count += 1
+                self._run_count += 1
         return outcome
 
     async def _note_lost(self, reason: LossReason) -> None:
-        if self._run is not None:
-            await self._crashes.note_lost(self._run.send, reason)
+        if self._attempt is not None:
+            await self._crashes.note_lost(self._attempt.send, reason)
 
     async def _choose(self) -> TrackedEndpoint | None:
-        """Return the next endpoint; a suspect waits for one without another suspect."""
-        places = self._route.data_centres
+        """Return the next endpoint.
+
+        A request during which endpoints crashed waits for an endpoint that works on no
+        other such request.
+        """
+        allowed_data_centres = self._route.data_centres
         while True:
             is_suspect = self._admission() is Admission.ALONE
             target = self._directory.choose(
-                self._service, self._tried, places, is_suspect
+                self._service, self._tried, allowed_data_centres, is_suspect
             )
-            endpoints = self._directory.of_service(self._service, places)
+            endpoints = self._directory.of_service(self._service, allowed_data_centres)
             if target is not None or not any(each.suspects for each in endpoints):
                 return target
             if self._left_s() < MIN_SEND_S:
@@ -269,42 +286,42 @@
     def _admission(self) -> Admission:
         return self._crashes.verdict(self._content).admission
 
-    async def _opened(self, run: StreamRun) -> StreamOutcome:
+    async def _open_attempt(self, attempt: StreamAttempt) -> StreamOutcome:
         outgoing = self._request.outgoing(
             max(self._request.deadline - self._clock.monotonic(), MIN_SEND_S),
             may_reuse_connection=self._route.is_resumable,
-            resume_after=self._last_number,
+            resume_after=self._last_event_number,
         )
         try:
-            async with within_run(run.target), asyncio.timeout(self._left_s()):
-                return await run.open(self._client, outgoing)
+            async with within_run(attempt.target), asyncio.timeout(self._left_s()):
+                return await attempt.open(self._client, outgoing)
         except TimeoutError:
             return Lost(LossReason.TIMEOUT)
         except RunEndedError:
             return Lost(LossReason.ENDPOINT_RESTARTED)
 
-    def _may_go_on(self) -> bool:
-        return self._route.is_resumable and self._count < self._route.max_attempts
+    def _may_resume(self) -> bool:
+        return self._route.is_resumable and self._run_count < self._route.max_attempts
 
     def _left_s(self) -> float:
         return max(self._deadline - self._clock.monotonic(), 0.0)
 
     async def _close(self) -> None:
-        run, self._run = self._run, None
-        if run is not None:
-            await run.close()
+        attempt, self._attempt = self._attempt, None
+        if attempt is not None:
+            await attempt.close()
 
-    def _given_up(self) -> Reply:
+    def _give_up(self) -> Reply:
         self._crashes.tell(self._content)
-        reply = self._unanswered() if self._count else self._not_run()
+        reply = self._unanswered() if self._run_count else self._not_run()
         _log.warning(
             "relay: stream given up",
             request=self._request.request_id,
             workspace=self._request.workspace,
             content=self._content,
             reason=reply.reason.value,
-            runs=self._count,
-            refusals=self._refusals,
+            runs=self._run_count,
+            refusals=self._refusal_count,
             left_s=round(self._left_s(), 3),
         )
         return reply
@@ -315,8 +332,8 @@
         )
 
     def _not_run(self) -> NotRun:
-        refusal = refusal_of(self._crashes.verdict(self._content))
+        refusal = crash_refusal(self._crashes.verdict(self._content))
         if refusal is not None:
             return refusal
-        reason = RejectReason.FULL if self._refusals else RejectReason.NO_ENDPOINT
+        reason = RejectReason.FULL if self._refusal_count else RejectReason.NO_ENDPOINT
         return NotRun(reason, RETRY_AFTER_S)
--- a/src/bankrudder/relay/_values.py
+++ b/src/bankrudder/relay/_values.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and the replies to them."""
+"""Caller requests and the replies to them."""
 
 from enum import Enum
 
@@ -16,21 +16,21 @@
     Attributes
     ----------
     target : str
-        Path and query as sent.
+        Path and query as received.
     path : str
-        The path alone.
+        The path without the query.
     deadline : float
         Monotonic time after which the caller no longer waits.
     received_at : float
-        Monotonic time at which it was read.
+        Monotonic time at which the request was read.
     resume_after : int
-        Number of the last event that the caller has, -1 for none.
+        Number of the last event that the caller received, -1 for none.
     trace : str
-        W3C ``traceparent`` of the span that received it, or empty.
+        W3C ``traceparent`` of the span in which the request was received, or empty.
     identity : tuple of str
-        What tells it from requests of the same path and body: the caller, the prompt.
+        Values that distinguish requests with the same path and body: caller and prompt.
     workspace : WorkspaceName
-        Whose request it is, which endpoints are told.
+        Workspace that the request belongs to; it is passed on to endpoints.
     """
 
     request_id: str
@@ -50,13 +50,13 @@
 
     @property
     def content(self) -> ContentId:
-        """What it asks, the same for each attempt at any host."""
+        """Digest of the request, equal for repeated requests at all hosts."""
         return content_id(self.method, self.host, self.target, self.body, self.identity)
 
     def outgoing(
         self, timeout_s: float, *, may_reuse_connection: bool, resume_after: int = -1
     ) -> OutgoingRequest:
-        """Return the request as an endpoint is to receive it."""
+        """Return the request in the form that is sent to an endpoint."""
         return OutgoingRequest(
             request_id=self.request_id,
             method=self.method,
@@ -73,14 +73,14 @@
 
 
 class Relayed(msgspec.Struct, frozen=True):
-    """An endpoint's own answer, passed on unchanged.
+    """An endpoint's answer, passed on unchanged.
 
     Attributes
     ----------
     proof : str
-        The endpoint's receipt, empty without one.
+        Receipt of the endpoint, empty if it sent none.
     failed_answers : int
-        Endpoints that answered with an error of their own, this one among them.
+        Number of endpoints that answered with a server error, this one included.
     endpoint : EndpointId
         The endpoint that answered.
     """
@@ -94,7 +94,7 @@
 
 
 class RejectReason(Enum):
-    """Why a request was given up."""
+    """The reason why a request got no answer of an endpoint."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
@@ -106,16 +106,16 @@
     MALFORMED = "malformed"
     ENDPOINT_FAILED = "endpoint_failed"
     CRASHES_ENDPOINTS = "crashes_endpoints"
-    """Endpoints ended under the same request before, at whatever host."""
+    """Endpoints crashed while processing the same request, at any host."""
 
 
 class NotRun(msgspec.Struct, frozen=True):
-    """The request was not run and will not be; it may be made again.
+    """The request was not run and will not be; the caller may repeat it.
 
     Attributes
     ----------
     retry_after_s : float
-        Seconds after which it is worth coming back.
+        Seconds after which the caller may try again.
     """
 
     reason: RejectReason
@@ -123,30 +123,30 @@
 
 
 class NotFound(msgspec.Struct, frozen=True):
-    """Nothing is configured for the request, or what it asks for does not exist."""
+    """No route is configured for the request, or its resource does not exist."""
 
     reason: RejectReason
 
 
 class Unauthorized(msgspec.Struct, frozen=True):
-    """The caller shows no key of a workspace, by the newest configuration."""
+    """The caller presents no valid key of a workspace in the newest configuration."""
 
     reason: Refusal
 
 
 class Malformed(msgspec.Struct, frozen=True):
-    """The request is wrong."""
+    """The request is invalid; ``field`` names the invalid part."""
 
     field: str
 
 
 class Unanswered(msgspec.Struct, frozen=True):
-    """The request may have run, and there is no answer.
+    """The request may have run, but there is no answer.
 
     Attributes
     ----------
     is_timeout : bool
-        Whether time ran out, rather than all endpoints having failed.
+        Whether the deadline passed, as opposed to all endpoints having failed.
     """
 
     reason: RejectReason
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -1,4 +1,4 @@
-"""What is left of a stream whose caller leaves before it begins."""
+"""A streaming request whose caller disconnects before the stream begins."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -12,7 +12,7 @@
 
 
 class SilentEndpoints:
-    """Endpoints whose streams never begin."""
+    """An endpoint client whose streams never begin."""
 
     def __init__(self):
         self.opened = asyncio.Event()
@@ -24,8 +24,8 @@
         yield
 
 
-class Unconcerned:
-    """Stands in for the guard: no endpoint ever ends."""
+class FakeCrashGuard:
+    """A crash guard that refuses nothing and records abandoned attempts."""
 
     def __init__(self):
         self.left = []
@@ -47,8 +47,8 @@
     return directory
 
 
-async def test_its_place_at_the_endpoint_is_free_again(directory, hand_clock):
-    endpoints, guard = SilentEndpoints(), Unconcerned()
+async def test_cancelled_request_releases_its_slot(directory, hand_clock):
+    endpoints, guard = SilentEndpoints(), FakeCrashGuard()
     streams = StreamForwarder(directory, endpoints, guard, hand_clock)
     route = Route(
         "r", "h", "/", RouteKind.STREAM, (WeightedService("s", 1.0),), 5.0, 0.4
