--- a/src/bankrudder/crashes/__init__.py
+++ b/src/bankrudder/crashes/__init__.py
@@ -1,10 +1,10 @@
 """Requests under which endpoints end, told apart by what they ask."""
 
-from bankrudder.crashes._blame import LIMIT, judge
-from bankrudder.crashes._book import CrashBook
+from bankrudder.crashes._admission import LIMIT, judge
 from bankrudder.crashes._content import ContentId, content_id
 from bankrudder.crashes._evidence import Evidence, first_evidence, later_evidence
 from bankrudder.crashes._guard import CLEANING_PAUSE_S, CrashGuard
+from bankrudder.crashes._registry import CrashBook
 from bankrudder.crashes._values import (
     FREE,
     Admission,
--- a/src/bankrudder/crashes/_guard.py
+++ b/src/bankrudder/crashes/_guard.py
@@ -7,7 +7,6 @@
 import msgspec
 import structlog
 
-from bankrudder.crashes._book import CrashBook
 from bankrudder.crashes._content import ContentId
 from bankrudder.crashes._evidence import (
     SETTLE_S,
@@ -16,6 +15,7 @@
     later_evidence,
 )
 from bankrudder.crashes._records import CRASHES_TABLE, row_key, strike_in
+from bankrudder.crashes._registry import CrashBook
 from bankrudder.crashes._values import Admission, Send, Strike, UnixTime, Verdict
 from bankrudder.crashes._writing import StrikeWriter
 from bankrudder.fleet import (
--- a/src/bankrudder/crashes/_book.py
+++ b/src/bankrudder/crashes/_registry.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from bankrudder.crashes._blame import is_outdated, judge
+from bankrudder.crashes._admission import is_outdated, judge
 from bankrudder.crashes._content import ContentId
 from bankrudder.crashes._values import FREE, Strike, UnixTime, Verdict
 from bankrudder.fleet import EndpointRun
--- a/tests/crashes/test_book.py
+++ b/tests/crashes/test_registry.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bankrudder.crashes import Admission, CrashBook, Strike
-from bankrudder.crashes._book import MAX_CONTENTS, MAX_RUNS
+from bankrudder.crashes._registry import MAX_CONTENTS, MAX_RUNS
 from bankrudder.fleet import EndpointRun
 
 HOUR_S = 3600.0
