--- a/src/bankrudder/crashes/__init__.py
+++ b/src/bankrudder/crashes/__init__.py
@@ -1,10 +1,10 @@
-"""Requests under which endpoints end, told apart by what they ask."""
+"""Detection and refusal of requests that crash endpoints, identified by content."""
 
-from bankrudder.crashes._admission import LIMIT, judge
+from bankrudder.crashes._admission import CRASH_LIMIT, decide_admission
 from bankrudder.crashes._content import ContentId, content_id
 from bankrudder.crashes._evidence import Evidence, first_evidence, later_evidence
 from bankrudder.crashes._guard import CLEANING_PAUSE_S, CrashGuard
-from bankrudder.crashes._registry import CrashBook
+from bankrudder.crashes._registry import StrikeRegistry
 from bankrudder.crashes._values import (
     FREE,
     Admission,
@@ -18,17 +18,17 @@
     "Admission",
     "CLEANING_PAUSE_S",
     "ContentId",
-    "CrashBook",
+    "StrikeRegistry",
     "CrashGuard",
     "Evidence",
     "FREE",
-    "LIMIT",
+    "CRASH_LIMIT",
     "Send",
     "Strike",
     "UnixTime",
     "Verdict",
     "content_id",
     "first_evidence",
-    "judge",
+    "decide_admission",
     "later_evidence",
 ]
--- a/src/bankrudder/crashes/_admission.py
+++ b/src/bankrudder/crashes/_admission.py
@@ -1,23 +1,26 @@
-"""Whether a request may be sent, by the endpoints that ended under it.
-
-Pattern: a request crashes each endpoint that begins to run it. Callers repeat it, every
-host takes the repeat for a new request, and so it ends all endpoints of a service, and
-again once they are back. All other requests that were in progress at these endpoints
-are lost too, and look the same. On stand-ins one request ended 18 endpoints in six
-visits to a service of three; with this it ends three, once.
-
-Answer: runs of endpoints that ended under a content are counted over all attempts and
-hosts, one after the other: ends whose sends overlapped count once, since a common cause
-may end many endpoints that work on a popular request. Once `LIMIT` ended, the content
-is refused for `SURE_PAUSE_S`, then tried at one endpoint at a time; each further end
-doubles the pause. From one end less on it goes to no endpoint that works on another
-suspect, so that the next end tells them apart.
-
-Who only was beside it must not pay. An answer clears a content; an error does not, as
-it may come before what crashes. An end is not counted where another content explains
-it, one that was there too and under which more endpoints ended. Where two contents were
-at the very same ends, nothing tells them apart but a try: both wait for
-`UNSURE_PAUSES_S` only; the next end or answer decides.
+"""The decision whether a request may be sent, by the endpoints that crashed during it.
+
+A request may crash each endpoint that begins to run it. Callers repeat the request and
+every host treats the repetition as a new request, so the request crashes all endpoints
+of a service, and crashes them again after they restart. All other requests that were in
+progress at these endpoints fail too and look the same. With simulated endpoints, one
+request that was made six times to a service of three endpoints caused 18 crashes; with
+this policy it causes three.
+
+A strike is recorded against a request content for each run of an endpoint that crashed
+while processing it. Strikes are counted over all attempts and hosts, but crashes whose
+attempts overlapped count once, since a common cause may crash many endpoints that work
+on a popular request. After `CRASH_LIMIT` crashes the content is refused for
+`BASE_PAUSE_S` and then sent to one endpoint at a time. Each further crash doubles the
+pause. From `ALONE_THRESHOLD` crashes on, the content is a suspect: it is not sent to an
+endpoint that works on another suspect, so that the next crash distinguishes them.
+
+The other requests that were in progress at crashed endpoints must not be refused. An
+answer clears a content; a server error does not, because it may precede the crash. A
+crash is not counted if another content explains it: one that was in progress there too
+and has more strikes. Two contents with the very same crashes can only be distinguished
+by another attempt, so both are refused only for the shorter `AMBIGUOUS_PAUSES_S`, and
+the next crash or answer decides.
 """
 
 from collections.abc import Iterable, Mapping
@@ -26,47 +29,52 @@
 from bankrudder.crashes._values import FREE, Admission, Strike, UnixTime, Verdict
 from bankrudder.fleet import EndpointRun
 
-LIMIT = 3
-"""Endpoints that may end under a content. One is lost by chance every day in a large
-fleet, two in a row in a bad minute; a small service has no more than these."""
+CRASH_LIMIT = 3
+"""Number of crashes after which a content is refused. In a large fleet one endpoint
+fails by chance every day, and two in a row do so in a bad minute; a small service has
+no more than three endpoints."""
 
-ALONE_FROM = LIMIT - 1
-"""Ends from which a content is at one endpoint at a time: a second send beside the
-first could end two more."""
+ALONE_THRESHOLD = CRASH_LIMIT - 1
+"""Number of crashes from which a content is sent to one endpoint at a time, because two
+concurrent attempts could crash two more endpoints."""
 
-SURE_PAUSE_S = 600.0
-"""Time for which a content is refused that nothing else explains: each try may cost an
-endpoint some seconds, so that one in ten minutes takes under a hundredth of it."""
+BASE_PAUSE_S = 600.0
+"""First refusal period of a content whose crashes no other content explains. Each
+attempt may cost an endpoint a few seconds, so an attempt every ten minutes takes less
+than a hundredth of its time."""
 
-MOST_PAUSE_S = 6 * 3600.0
-"""Longest time between two tries."""
+MAX_PAUSE_S = 6 * 3600.0
+"""Longest refusal period, the time between two attempts."""
 
-UNSURE_PAUSES_S = (0.0, 3.0, 60.0)
-"""The same where another content was at the very same ends, after each such end
-from the limit on. The first try is free: who only was beside it comes again at once,
-and must be served. The second one waits until crashed endpoints are back."""
+AMBIGUOUS_PAUSES_S = (0.0, 3.0, 60.0)
+"""First refusal periods of a content if another content has the very same crashes, one
+period for each crash from the limit on. The first is zero, because a request that
+merely ran at the same time is repeated at once and must be served. The second lasts
+until crashed endpoints have restarted."""
 
-KEEP_FEW_S = 6 * 3600.0
-KEEP_S = 24 * 3600.0
-"""How long strikes are kept after the last one, below and from the limit on."""
+RETENTION_BELOW_LIMIT_S = 6 * 3600.0
+RETENTION_S = 24 * 3600.0
+"""How long strikes are kept after the last one, below the limit and from it on."""
 
-Strikes = Mapping[ContentId, Mapping[EndpointRun, Strike]]
+StrikesByContent = Mapping[ContentId, Mapping[EndpointRun, Strike]]
 
 
-def judge(content: ContentId, strikes: Strikes, now: UnixTime) -> Verdict:
-    """Return whether a request of this content may be sent now."""
-    own = strikes.get(content)
-    if not own:
+def decide_admission(
+    content: ContentId, strikes: StrikesByContent, now: UnixTime
+) -> Verdict:
+    """Return whether a request with this content may be sent now."""
+    own_strikes = strikes.get(content)
+    if not own_strikes:
         return FREE
-    counted = _unexplained(content, strikes)
-    if len(counted) < ALONE_FROM:
+    counted = _unexplained_runs(content, strikes)
+    if len(counted) < ALONE_THRESHOLD:
         return Verdict(Admission.FREE, len(counted))
-    count = _in_succession(own[run] for run in counted)
-    if count < LIMIT:
+    count = _sequential_count(own_strikes[run] for run in counted)
+    if count < CRASH_LIMIT:
         return Verdict(Admission.ALONE, count)
-    last = max(own[run].at for run in counted)
-    pause_s = _pause_s(count - LIMIT, _is_sure(content, counted, strikes))
-    # A clock that was set back must not make the pause longer than it is.
+    last = max(own_strikes[run].lost_at for run in counted)
+    pause_s = _pause_s(count - CRASH_LIMIT, _is_unambiguous(content, counted, strikes))
+    # A clock that is set back must not extend the refusal period.
     left_s = min(last + pause_s - now, pause_s)
     if left_s <= 0:
         return Verdict(Admission.ALONE, count)
@@ -75,41 +83,47 @@
 
 def is_outdated(runs: Mapping[EndpointRun, Strike], now: UnixTime) -> bool:
     """Whether the strikes of a content are too old to be kept."""
-    keep_s = KEEP_S if len(runs) >= LIMIT else KEEP_FEW_S
-    return now - max(strike.at for strike in runs.values()) > keep_s
+    keep_s = RETENTION_S if len(runs) >= CRASH_LIMIT else RETENTION_BELOW_LIMIT_S
+    return now - max(strike.lost_at for strike in runs.values()) > keep_s
 
 
-def _in_succession(strikes: Iterable[Strike]) -> int:
-    """Return the most ends of which each came under a send after the one before."""
+def _sequential_count(strikes: Iterable[Strike]) -> int:
+    """Count the crashes whose attempt was sent after the previously counted crash."""
     count = 0
     last: UnixTime | None = None
-    for strike in sorted(strikes, key=lambda each: each.at):
-        if last is None or strike.began >= last:
+    for strike in sorted(strikes, key=lambda each: each.lost_at):
+        if last is None or strike.sent_at >= last:
             count += 1
-            last = strike.at
+            last = strike.lost_at
     return count
 
 
-def _unexplained(content: ContentId, strikes: Strikes) -> frozenset[EndpointRun]:
-    """Return the ends for which there is no worse content that was there too."""
-    own = strikes[content]
-    left = set(own)
+def _unexplained_runs(
+    content: ContentId, strikes: StrikesByContent
+) -> frozenset[EndpointRun]:
+    """Return the runs whose crash is not explained by a content with more strikes."""
+    own_strikes = strikes[content]
+    left = set(own_strikes)
     for other, runs in strikes.items():
-        if other != content and len(runs) >= LIMIT and len(runs) > len(own):
+        if (
+            other != content
+            and len(runs) >= CRASH_LIMIT
+            and len(runs) > len(own_strikes)
+        ):
             left -= runs.keys()
     return frozenset(left)
 
 
-def _is_sure(
-    content: ContentId, counted: frozenset[EndpointRun], strikes: Strikes
+def _is_unambiguous(
+    content: ContentId, counted: frozenset[EndpointRun], strikes: StrikesByContent
 ) -> bool:
-    """Whether no other content was at all of these ends."""
+    """Whether no other content has strikes for all of the counted runs."""
     return not any(
         other != content and counted <= runs.keys() for other, runs in strikes.items()
     )
 
 
-def _pause_s(tries: int, is_sure: bool) -> float:
-    if not is_sure and tries < len(UNSURE_PAUSES_S):
-        return UNSURE_PAUSES_S[tries]
-    return min(SURE_PAUSE_S * 2.0**tries, MOST_PAUSE_S)
+def _pause_s(tries: int, is_unambiguous: bool) -> float:
+    if not is_unambiguous and tries < len(AMBIGUOUS_PAUSES_S):
+        return AMBIGUOUS_PAUSES_S[tries]
+    return min(BASE_PAUSE_S * 2.0**tries, MAX_PAUSE_S)
--- a/src/bankrudder/crashes/_content.py
+++ b/src/bankrudder/crashes/_content.py
@@ -1,15 +1,15 @@
-"""What a request asks, whatever name an attempt at it bears."""
+"""Identification of requests by their content, independent of request identifiers."""
 
 import hashlib
 from collections.abc import Iterable
 from typing import NewType
 
 ContentId = NewType("ContentId", str)
-"""Digest of what a request asks. Each attempt of a caller has a request identifier of
-its own; the content is the same at every host."""
+"""Digest of a request's content. A repeated request has a new request identifier but
+the same content digest, at every host."""
 
 DIGEST_BYTES = 16
-"""Length of a digest: two contents share one by chance, or by intent, never."""
+"""Length of a digest, at which accidental and deliberate collisions are infeasible."""
 
 
 def content_id(
@@ -19,14 +19,14 @@
     body: bytes,
     identity: Iterable[str] = (),
 ) -> ContentId:
-    """Return the digest of a request.
+    """Return the content digest of a request.
 
     Parameters
     ----------
     target : str
-        Path and query as sent.
+        Path and query as received.
     identity : iterable of str
-        What tells requests of the same path and body apart: the caller, the prompt.
+        Values that distinguish requests with the same path and body: caller and prompt.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method, host.lower(), target, *identity):
--- a/src/bankrudder/crashes/_evidence.py
+++ b/src/bankrudder/crashes/_evidence.py
@@ -1,47 +1,51 @@
-"""Whether an endpoint ended under a request that it left without an answer.
-
-A connection that closes says little: endpoints lose answers, links are reset, planned
-stops cut what outlasts them. An endpoint has ended if nobody listens at its address any
-more, or if a later run of it is known. The first may also be a cut link that refuses
-connections, which shows later: the platform goes on listing an endpoint whose
-heartbeats reach it, or lists it again, and drops one that ended.
+"""The evidence whether an endpoint crashed while processing a request.
+
+A closed connection is weak evidence: endpoints lose answers, connections are reset, and
+planned stops cancel requests that outlast them. An endpoint is considered crashed if
+its address refuses connections, or if a later run of it is known. A failing link may
+refuse connections, too. The platform's list shows the difference later: an endpoint
+whose heartbeats still reach the platform stays listed or is listed again, and a crashed
+endpoint is removed.
 """
 
 from enum import Enum
 
 from bankrudder.fleet import Reach, Readiness, TrackedEndpoint
 
-SETTLE_S = 8.0
-"""Time after which an endpoint that is still listed lives: the platform drops the entry
-of one that ended after three heartbeats, about three seconds, and two more where the
-store was away."""
+LISTED_ALIVE_S = 8.0
+"""Time after which an endpoint that is still listed is considered alive. The platform
+removes the entry of a crashed endpoint after three heartbeats, about three seconds, or
+two seconds later after a store outage."""
 
-OPEN_S = 3.0
-"""Time in which a later run shows of an endpoint that seemed to live: it was back
-before it was looked at, and is listed with its next heartbeat. What ends later is
-another end."""
+RESTART_DETECTION_S = 3.0
+"""Time within which the restart of an endpoint that accepted connections is observed.
+Such an endpoint restarted before the probe, and its new run is listed with the next
+heartbeat. A restart that is observed later belongs to another crash."""
 
-FINAL_S = 60.0
-"""Time after which an endpoint that is not listed again has ended: cut links heal in
-some tens of seconds."""
+UNLISTED_ENDED_S = 60.0
+"""Time after which an endpoint that is not listed is considered crashed: failed links
+recover within some tens of seconds."""
 
 
 class Evidence(Enum):
-    """What is known of an endpoint that gave no answer."""
+    """The evidence for a crash of an endpoint that gave no answer.
+
+    ``ENDED`` stands for a crash, ``LIVES`` for any other cause.
+    """
 
     ENDED = "ended"
     PROBABLY_ENDED = "probably_ended"
-    """It counts as ended until it shows that it lives."""
+    """The endpoint counts as crashed until it is found to be alive."""
 
     OPEN = "open"
-    """Nothing says that it ended, but that may show yet."""
+    """There is no evidence for a crash yet, but there may be later."""
 
     LIVES = "lives"
 
 
 def first_evidence(target: TrackedEndpoint, reach: Reach) -> Evidence:
-    """Return what is known as soon as a connection was tried."""
-    if _was_to_end(target):
+    """Return the evidence after the first probe of the endpoint's address."""
+    if _is_planned_stop(target):
         return Evidence.LIVES
     if target.has_ended:
         return Evidence.ENDED
@@ -55,28 +59,28 @@
 def later_evidence(
     target: TrackedEndpoint, before: Evidence, age_s: float, is_listed: bool | None
 ) -> Evidence:
-    """Return what is known some time after the loss.
+    """Return the evidence some time after the loss.
 
     Parameters
     ----------
     before : Evidence
-        What was known until now, `OPEN` or `PROBABLY_ENDED`.
+        Evidence so far, `OPEN` or `PROBABLY_ENDED`.
     age_s : float
         Seconds since the loss.
     is_listed : bool or None
-        Whether the platform lists this run now, None while that is not known.
+        Whether the platform lists this run now, None while this is unknown.
     """
-    if _was_to_end(target):
+    if _is_planned_stop(target):
         return Evidence.LIVES
     if target.has_ended:
         return Evidence.ENDED
     if before is Evidence.OPEN:
-        return before if age_s < OPEN_S else Evidence.LIVES
-    if is_listed and age_s >= SETTLE_S:
+        return before if age_s < RESTART_DETECTION_S else Evidence.LIVES
+    if is_listed and age_s >= LISTED_ALIVE_S:
         return Evidence.LIVES
-    return before if age_s < FINAL_S else Evidence.ENDED
+    return before if age_s < UNLISTED_ENDED_S else Evidence.ENDED
 
 
-def _was_to_end(target: TrackedEndpoint) -> bool:
-    """Whether its end is a planned one."""
+def _is_planned_stop(target: TrackedEndpoint) -> bool:
+    """Whether the endpoint is draining, so that its end is planned."""
     return target.endpoint.readiness is Readiness.DRAINING
--- a/src/bankrudder/crashes/_guard.py
+++ b/src/bankrudder/crashes/_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash endpoints from reaching one after the other."""
+"""The guard that keeps requests which crash endpoints from crashing further ones."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -9,13 +9,13 @@
 
 from bankrudder.crashes._content import ContentId
 from bankrudder.crashes._evidence import (
-    SETTLE_S,
+    LISTED_ALIVE_S,
     Evidence,
     first_evidence,
     later_evidence,
 )
-from bankrudder.crashes._records import CRASHES_TABLE, row_key, strike_in
-from bankrudder.crashes._registry import CrashBook
+from bankrudder.crashes._records import CRASHES_TABLE, decode_strike, row_key
+from bankrudder.crashes._registry import StrikeRegistry
 from bankrudder.crashes._values import Admission, Send, Strike, UnixTime, Verdict
 from bankrudder.crashes._writing import StrikeWriter
 from bankrudder.fleet import (
@@ -32,42 +32,43 @@
 READ_SHARE = 0.05
 READ_WAIT_S = 2.0
 """Share of the store's reads that following the strikes may take, and the shortest time
-for which a read is held: a change ends it at once, so this only bounds for how long a
-connection that fell silent hides one."""
+for which the store holds a read until there is a change. A change ends the read at
+once, so the time only bounds how long a silent connection conceals a change."""
 
-LOOK_WAIT_S = 0.05
-"""Longest time for which a request waits until it is known whether its endpoint ended:
-a connection that is refused says so within some milliseconds."""
+PROBE_WAIT_S = 0.05
+"""Longest time for which a request waits for the probe of its endpoint. A refused
+connection is reported within a few milliseconds."""
 
-LEFT_LOOK_S = 0.3
-"""Time after which an endpoint is looked at whose request was given up here: it may go
-on with it, and end. A few times a usual answer."""
+ABANDONED_PROBE_DELAY_S = 0.3
+"""Delay of the probe after this host gave up a request. The endpoint may continue with
+the request and crash. The delay is a few times a typical response time."""
 
-CLOCK_STEP_S = 0.5
-"""Change of the time of day against the steady clock that means that it was set."""
+MIN_CLOCK_STEP_S = 0.5
+"""Smallest change of the real-time clock against the monotonic clock that is taken as a
+step of the real-time clock."""
 
-SETTLE_PAUSE_S = 0.5
-"""How often losses are looked at again."""
+RECHECK_PERIOD_S = 0.5
+"""Time between two checks of the undecided losses."""
 
-MAX_OPEN_CASES = 1000
-"""Losses that are looked at again, the latest."""
+MAX_OPEN_LOSSES = 1000
+"""Maximum number of losses that are rechecked; the oldest are discarded."""
 
 CLEANING_PAUSE_S = 60.0
-"""How often it is looked for strikes that are too old."""
+"""Time between two removals of outdated strikes."""
 
-SUSPICIOUS = frozenset(
+CRASH_LOSS_REASONS = frozenset(
     {LossReason.NO_ANSWER, LossReason.BROKEN_OFF, LossReason.ENDPOINT_RESTARTED}
 )
-"""Losses that a crash brings about. An endpoint that is late is only slow."""
+"""Loss reasons that a crash may cause. A timeout alone does not indicate a crash."""
 
 _log = structlog.get_logger("crashes")
 
 
-class _Case(msgspec.Struct):
-    """One request that an endpoint left without an answer, ``at`` a monotonic time."""
+class _Loss(msgspec.Struct):
+    """A request that got no answer of its endpoint; ``lost_at`` is a monotonic time."""
 
     send: Send
-    at: float
+    lost_at: float
     evidence: Evidence
 
     @property
@@ -80,12 +81,12 @@
 
 
 class CrashGuard:
-    """Knows under which contents endpoints ended, here and at other hosts.
+    """Tracks the contents during which endpoints crashed, at this and other hosts.
 
     Parameters
     ----------
     list_current_for_s : callable
-        Seconds for which reads of the platform's list of endpoints have not failed.
+        Returns the seconds since a read of the platform's endpoint list last failed.
     """
 
     def __init__(
@@ -101,13 +102,13 @@
         self._directory = directory
         self._clock = clock
         self._list_current_for_s = list_current_for_s
-        self._book = CrashBook()
+        self._registry = StrikeRegistry()
         self._writer = StrikeWriter(store)
         self._wall_offset = clock.wall() - clock.monotonic()
-        self._cases: list[_Case] = []
-        self._looks: dict[EndpointRun, asyncio.Task[Reach]] = {}
-        self._looking: set[asyncio.Task[None]] = set()
-        self._kept: dict[RowKey, Strike] = {}
+        self._losses: list[_Loss] = []
+        self._probes: dict[EndpointRun, asyncio.Task[Reach]] = {}
+        self._examinations: set[asyncio.Task[None]] = set()
+        self._stored: dict[RowKey, Strike] = {}
         self._follower = TableFollower(
             store,
             CRASHES_TABLE,
@@ -119,206 +120,210 @@
 
     @property
     def refused_count(self) -> int:
-        """Number of contents that are refused now."""
-        verdicts = self._book.verdicts(self._now())
+        """Number of contents that are currently refused."""
+        verdicts = self._registry.verdicts(self._now())
         return sum(each.admission is Admission.REFUSED for each in verdicts)
 
     def __len__(self) -> int:
-        return len(self._book)
+        return len(self._registry)
 
     def verdict(self, content: ContentId) -> Verdict:
-        """Return whether a request may be sent now."""
-        return self._book.verdict(content, self._now())
+        """Return whether a request with this content may be sent now."""
+        return self._registry.verdict(content, self._now())
 
     async def note_lost(self, send: Send, reason: LossReason) -> None:
-        """Note that an endpoint left a request without an answer.
+        """Record that an endpoint gave no answer to a request.
 
-        Returns once it is known whether the endpoint ended, or after `LOOK_WAIT_S`.
+        Returns once the endpoint was probed, at the latest after `PROBE_WAIT_S`.
         """
-        if reason not in SUSPICIOUS:
+        if reason not in CRASH_LOSS_REASONS:
             return
-        looking = self._start(self._look(send, self._clock.monotonic()))
-        await asyncio.wait([looking], timeout=LOOK_WAIT_S)
+        examination = self._start_examination(
+            self._examine(send, self._clock.monotonic())
+        )
+        await asyncio.wait([examination], timeout=PROBE_WAIT_S)
 
-    def note_left(self, send: Send) -> None:
-        """Note that a request was broken off here while an endpoint worked on it."""
-        self._start(self._look_later(send, self._clock.monotonic()))
+    def note_abandoned(self, send: Send) -> None:
+        """Record that this host cancelled a request in progress at an endpoint."""
+        self._start_examination(self._examine_later(send, self._clock.monotonic()))
 
     def note_answer(self, content: ContentId) -> None:
-        """Note that an endpoint ran a request to a good end: it is not to blame."""
-        if content not in self._book:
+        """Record an answer to a request, which clears the strikes of its content."""
+        if content not in self._registry:
             return
-        strikes = self._book.clear(content)
-        self._cases = [each for each in self._cases if each.content != content]
+        strikes = self._registry.clear(content)
+        self._losses = [each for each in self._losses if each.content != content]
         for strike in strikes:
-            self._forget(strike)
+            self._delete_stored(strike)
         _log.info(
             "crashes: cleared by an answer", content=content, strikes=len(strikes)
         )
 
     def tell(self, content: ContentId) -> None:
-        """Let all hosts know what is held against a request that got no answer."""
-        for strike in self._book.strikes(content):
-            self._keep(strike)
+        """Share the strikes of a request that got no answer with all hosts."""
+        for strike in self._registry.strikes(content):
+            self._store_strike(strike)
 
     async def run(self) -> None:
-        """Share strikes with the other hosts, and settle losses, until cancelled."""
+        """Exchange strikes with other hosts and recheck losses, until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._writer.run())
-            group.create_task(self._settle_repeatedly())
+            group.create_task(self._recheck_losses())
 
     async def clean(self) -> None:
-        """Remove strikes that are too old; one host at a time is enough."""
-        for strike in self._book.clear_outdated(self._now()):
-            self._forget(strike)
+        """Remove outdated strikes; only one host at a time needs to do this."""
+        for strike in self._registry.clear_outdated(self._now()):
+            self._delete_stored(strike)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
+    def _start_examination(
+        self, work: Coroutine[Any, Any, None]
+    ) -> "asyncio.Task[None]":
         task = asyncio.ensure_future(work)
-        self._looking.add(task)
-        task.add_done_callback(self._looking.discard)
+        self._examinations.add(task)
+        task.add_done_callback(self._examinations.discard)
         return task
 
-    async def _look_later(self, send: Send, at: float) -> None:
-        await asyncio.sleep(LEFT_LOOK_S)
-        await self._look(send, at)
-        # No attempt is left that could tell the other hosts.
+    async def _examine_later(self, send: Send, lost_at: float) -> None:
+        await asyncio.sleep(ABANDONED_PROBE_DELAY_S)
+        await self._examine(send, lost_at)
+        # There is no further attempt that would share the strikes.
         self.tell(send.content)
 
-    async def _look(self, send: Send, at: float) -> None:
+    async def _examine(self, send: Send, lost_at: float) -> None:
         target = send.target
         reach = Reach.UNKNOWN
         if not target.has_ended:
-            reach = await self._reach(target)
-        case = _Case(send, at, first_evidence(target, reach))
+            reach = await self._probe(target)
+        loss = _Loss(send, lost_at, first_evidence(target, reach))
         _log.info(
-            "crashes: endpoint left a request",
+            "crashes: endpoint gave no answer",
             content=send.content,
             endpoint=target.endpoint.id,
             reach=reach.value,
-            evidence=case.evidence.value,
+            evidence=loss.evidence.value,
         )
-        self._cases.append(case)
-        del self._cases[:-MAX_OPEN_CASES]
-        if case.evidence in (Evidence.ENDED, Evidence.PROBABLY_ENDED):
-            self._strike(case)
+        self._losses.append(loss)
+        del self._losses[:-MAX_OPEN_LOSSES]
+        if loss.evidence in (Evidence.ENDED, Evidence.PROBABLY_ENDED):
+            self._add_strike(loss)
 
-    async def _reach(self, target: TrackedEndpoint) -> Reach:
+    async def _probe(self, target: TrackedEndpoint) -> Reach:
         run = target.run
-        look = self._looks.get(run)
-        if look is None:
-            look = asyncio.ensure_future(self._client.reach(target.endpoint))
-            self._looks[run] = look
-            # It serves all requests that the endpoint left at once, and no later ones.
-            look.add_done_callback(lambda _: self._looks.pop(run, None))
-        return await asyncio.shield(look)
-
-    async def _settle_repeatedly(self) -> None:
+        probe = self._probes.get(run)
+        if probe is None:
+            probe = asyncio.ensure_future(self._client.reach(target.endpoint))
+            self._probes[run] = probe
+            # Requests that are lost at the same time share a probe, later ones do not.
+            probe.add_done_callback(lambda _: self._probes.pop(run, None))
+        return await asyncio.shield(probe)
+
+    async def _recheck_losses(self) -> None:
         while True:
-            await asyncio.sleep(SETTLE_PAUSE_S)
-            self._cases = [each for each in self._cases if self._is_open(each)]
+            await asyncio.sleep(RECHECK_PERIOD_S)
+            self._losses = [each for each in self._losses if self._recheck(each)]
 
-    def _is_open(self, case: _Case) -> bool:
-        """Look at a loss again; return whether it has to be looked at once more."""
-        age_s = self._clock.monotonic() - case.at
-        before = case.evidence
+    def _recheck(self, loss: _Loss) -> bool:
+        """Update the evidence of a loss; return whether it is still undecided."""
+        age_s = self._clock.monotonic() - loss.lost_at
+        before = loss.evidence
         if before in (Evidence.ENDED, Evidence.LIVES):
             return False
-        case.evidence = later_evidence(
-            case.target, before, age_s, self._is_listed(case.target)
+        loss.evidence = later_evidence(
+            loss.target, before, age_s, self._is_listed(loss.target)
         )
-        match case.evidence:
+        match loss.evidence:
             case Evidence.ENDED:
                 if before is Evidence.OPEN:
-                    self._strike(case)
+                    self._add_strike(loss)
                 return False
             case Evidence.LIVES:
                 if before is Evidence.PROBABLY_ENDED:
-                    self._withdraw(case)
+                    self._withdraw(loss)
                 return False
         return True
 
     def _is_listed(self, target: TrackedEndpoint) -> bool | None:
-        # Right after an outage the list still holds what ended during it.
-        if self._list_current_for_s() < SETTLE_S:
+        # Right after an outage the list still contains endpoints that crashed in it.
+        if self._list_current_for_s() < LISTED_ALIVE_S:
             return None
         known = self._directory.get(target.endpoint.id)
         return known is not None and known.run == target.run
 
-    def _strike(self, case: _Case) -> None:
-        strike = self._strike_of(case)
-        self._forget_all(self._book.add(strike))
-        verdict = self.verdict(case.content)
+    def _add_strike(self, loss: _Loss) -> None:
+        strike = self._strike_for(loss)
+        self._delete_all_stored(self._registry.add(strike))
+        verdict = self.verdict(loss.content)
         _log.warning(
             "crashes: endpoint ended under a request",
-            content=case.content,
-            endpoint=case.target.endpoint.id,
+            content=loss.content,
+            endpoint=loss.target.endpoint.id,
             strikes=verdict.strikes,
             admission=verdict.admission.value,
             retry_after_s=round(verdict.retry_after_s, 1),
         )
         if verdict.admission is not Admission.FREE:
-            self.tell(case.content)
+            self.tell(loss.content)
 
-    def _strike_of(self, case: _Case) -> Strike:
-        """Return the strike of a loss, with the times of all hosts' clocks."""
+    def _strike_for(self, loss: _Loss) -> Strike:
+        """Return the strike of a loss, with Unix times that other hosts can compare."""
         return Strike(
-            case.content,
-            case.target.run,
-            self._unix_time(case.send.began),
-            self._unix_time(case.at),
+            loss.content,
+            loss.target.run,
+            self._unix_time(loss.send.sent_at),
+            self._unix_time(loss.lost_at),
         )
 
     def _unix_time(self, monotonic: float) -> UnixTime:
-        """Return a time of this host's steady clock as other hosts understand it.
+        """Convert a time of this host's monotonic clock to Unix time.
 
-        Which of two times of one host was first stays as it is: both clocks are read
-        anew only after one of them was set.
+        The order of two times of one host is preserved: the offset between the clocks
+        changes only after a step of the real-time clock.
         """
         offset = self._clock.wall() - self._clock.monotonic()
-        if abs(offset - self._wall_offset) > CLOCK_STEP_S:
+        if abs(offset - self._wall_offset) > MIN_CLOCK_STEP_S:
             self._wall_offset = offset
         return UnixTime(monotonic + self._wall_offset)
 
-    def _withdraw(self, case: _Case) -> None:
-        if not self._book.remove(case.content, case.target.run):
+    def _withdraw(self, loss: _Loss) -> None:
+        if not self._registry.remove(loss.content, loss.target.run):
             return
-        self._forget(self._strike_of(case))
+        self._delete_stored(self._strike_for(loss))
         _log.info(
             "crashes: endpoint lives, strike withdrawn",
-            content=case.content,
-            endpoint=case.target.endpoint.id,
+            content=loss.content,
+            endpoint=loss.target.endpoint.id,
         )
 
-    def _keep(self, strike: Strike) -> None:
+    def _store_strike(self, strike: Strike) -> None:
         key = row_key(strike)
-        if key not in self._kept:
-            self._kept[key] = strike
+        if key not in self._stored:
+            self._stored[key] = strike
             self._writer.put(strike)
 
-    def _forget(self, strike: Strike) -> None:
-        if self._kept.pop(row_key(strike), None) is not None:
+    def _delete_stored(self, strike: Strike) -> None:
+        if self._stored.pop(row_key(strike), None) is not None:
             self._writer.remove(strike)
 
-    def _forget_all(self, strikes: Iterable[Strike]) -> None:
+    def _delete_all_stored(self, strikes: Iterable[Strike]) -> None:
         for strike in strikes:
-            self._forget(strike)
+            self._delete_stored(strike)
 
     def _on_row(self, row: Row) -> None:
         try:
-            strike = strike_in(row.value)
+            strike = decode_strike(row.value)
         except msgspec.DecodeError as error:
             _log.warning(
                 "crashes: row not understood", row=row.key.key, reason=str(error)
             )
             return
-        self._kept[row.key] = strike
-        self._forget_all(self._book.add(strike))
+        self._stored[row.key] = strike
+        self._delete_all_stored(self._registry.add(strike))
 
     def _on_removed(self, key: RowKey) -> None:
-        strike = self._kept.pop(key, None)
+        strike = self._stored.pop(key, None)
         if strike is not None:
-            self._book.remove(strike.content, strike.run)
+            self._registry.remove(strike.content, strike.run)
 
     def _now(self) -> UnixTime:
         return UnixTime(self._clock.wall())
--- a/src/bankrudder/crashes/_records.py
+++ b/src/bankrudder/crashes/_records.py
@@ -1,8 +1,8 @@
-"""Strikes as rows of the store, where all hosts find them and none can lose them.
+"""Encoding of strikes as rows of the store, which shares them among all hosts.
 
-A row for each strike, in table ``crashes``, all in one part. Rows are written and
-removed without conditions: two hosts that see the same end write the same row, and a
-write that the store carries out late brings back one strike at most.
+Table ``crashes`` has a row for each strike, all in one part. Rows are written and
+removed without conditions: two hosts that observe the same crash write the same row,
+and a write that the store executes late restores at most one removed strike.
 """
 
 import hashlib
@@ -17,7 +17,8 @@
 CRASHES_TABLE = "crashes"
 
 RUN_DIGEST_BYTES = 8
-"""Length of the digest of a run in a row's key: names of endpoints may be long."""
+"""Length of the digest of a run in a row key. A digest is used because the names of
+endpoints may be long."""
 
 
 class _CrashRow(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -29,26 +30,28 @@
 
 
 def row_key(strike: Strike) -> RowKey:
-    """Return where a strike is kept."""
+    """Return the row key of a strike."""
     name = f"{strike.run.endpoint}/{strike.run.born}".encode()
     run = hashlib.blake2b(name, digest_size=RUN_DIGEST_BYTES).hexdigest()
     return RowKey(CRASHES_TABLE, "", f"{strike.content}/{run}")
 
 
-def row_of(strike: Strike) -> Put:
-    """Return the row that keeps a strike."""
+def encode_strike(strike: Strike) -> Put:
+    """Return the write of a strike's row."""
     run = strike.run
-    row = _CrashRow(strike.content, run.endpoint, strike.began, strike.at, run.born)
+    row = _CrashRow(
+        strike.content, run.endpoint, strike.sent_at, strike.lost_at, run.born
+    )
     return Put(row_key(strike), msgspec.json.encode(row))
 
 
-def strike_in(value: bytes) -> Strike:
-    """Return the strike in a row.
+def decode_strike(value: bytes) -> Strike:
+    """Return the strike in the value of a row.
 
     Raises
     ------
     msgspec.DecodeError
-        If it holds none.
+        If the value is not a valid strike.
     """
     row = msgspec.json.decode(value, type=_CrashRow)
     return Strike(row.content, EndpointRun(row.endpoint, row.born), row.began, row.at)
--- a/src/bankrudder/crashes/_values.py
+++ b/src/bankrudder/crashes/_values.py
@@ -1,4 +1,4 @@
-"""What is known of endpoints that ended under a request."""
+"""Strikes, the crashes recorded against request contents, and admission decisions."""
 
 from enum import Enum
 from typing import NewType
@@ -9,32 +9,32 @@
 from bankrudder.fleet import EndpointRun, TrackedEndpoint
 
 UnixTime = NewType("UnixTime", float)
-"""Seconds of the real-time clock: strikes outlive the host that saw them."""
+"""Unix time in seconds, because strikes outlive the process that observed them."""
 
 
 class Send(msgspec.Struct, frozen=True):
-    """A request at one endpoint; ``began`` is the monotonic time of its sending."""
+    """One attempt to send a request to an endpoint; ``sent_at`` is a monotonic time."""
 
     content: ContentId
     target: TrackedEndpoint
-    began: float
+    sent_at: float
 
 
 class Strike(msgspec.Struct, frozen=True):
-    """One run of an endpoint that ended while it worked on a content.
+    """One run of an endpoint that crashed while processing a content.
 
     Attributes
     ----------
-    began : UnixTime
-        When the request was sent there.
-    at : UnixTime
-        When the loss of the endpoint was noticed.
+    sent_at : UnixTime
+        Time at which the request was sent to the endpoint.
+    lost_at : UnixTime
+        Time at which the request was found to be lost.
     """
 
     content: ContentId
     run: EndpointRun
-    began: UnixTime
-    at: UnixTime
+    sent_at: UnixTime
+    lost_at: UnixTime
 
 
 class Admission(Enum):
@@ -42,20 +42,23 @@
 
     FREE = "free"
     ALONE = "alone"
-    """To one endpoint at a time: the next crash may be the last that is allowed."""
+    """The request may be sent to one endpoint at a time.
+
+    The next crash may be the last one that is allowed.
+    """
 
     REFUSED = "refused"
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """What the strikes of a content say about its next send.
+    """The decision whether a request with a content may be sent.
 
     Attributes
     ----------
     strikes : int
-        Runs of endpoints that count against it.
+        Number of strikes of the content that count.
     retry_after_s : float
-        Seconds until it may be tried again, 0 unless it is refused.
+        Time until the content may be sent again, 0 unless it is refused.
     """
 
     admission: Admission
@@ -64,4 +67,4 @@
 
 
 FREE = Verdict(Admission.FREE)
-"""What holds for a request under which no endpoint ended."""
+"""The decision for a content without strikes."""
--- a/src/bankrudder/fleet/_directory.py
+++ b/src/bankrudder/fleet/_directory.py
@@ -13,8 +13,8 @@
 from bankrudder.world import Clock, DataCentreName
 
 RETURN_S = 2.0
-"""Time within which the platform lists endpoints again, by its contract, whose entries
-lapsed during a store outage. Until then the endpoints are kept."""
+"""Time after a store outage within which the platform lists endpoints again whose
+entries lapsed during the outage, by its contract. Until then the endpoints are kept."""
 
 _log = structlog.get_logger("fleet")
 
--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -134,12 +134,12 @@
             task.cancel()
             if not self._is_answered:
                 self._note_begun(send)
-                self._crashes.note_left(send)
+                self._crashes.note_abandoned(send)
 
     def _note_begun(self, send: Send) -> None:
         """Record the start of the first attempt that ran or may have run."""
         if self._began_at is None:
-            self._began_at = send.began
+            self._began_at = send.sent_at
 
     def _send_next(self) -> None:
         if not self._may_send():
@@ -190,7 +190,7 @@
         return self._crashes.verdict(self._content)
 
     async def _send(self, target: TrackedEndpoint) -> SendOutcome:
-        began = self._clock.monotonic()
+        sent_at = self._clock.monotonic()
         outgoing = self._request.outgoing(
             self._left_s(), may_reuse_connection=self._is_idempotent()
         )
@@ -203,7 +203,7 @@
         with span:
             outcome = await self._send_within_run(target, outgoing)
             span.set(outcome=describe(outcome))
-        note_outcome(target, outcome, began, self._clock.monotonic())
+        note_outcome(target, outcome, sent_at, self._clock.monotonic())
         return outcome
 
     async def _send_within_run(
--- a/src/bankrudder/relay/_outcomes.py
+++ b/src/bankrudder/relay/_outcomes.py
@@ -25,14 +25,14 @@
 
 
 def note_outcome(
-    target: TrackedEndpoint, outcome: SendOutcome, began: float, now: float
+    target: TrackedEndpoint, outcome: SendOutcome, sent_at: float, now: float
 ) -> None:
     """Record the outcome of an attempt in the statistics of its endpoint."""
     match outcome:
         case Answered():
             if outcome.load is not None:
                 target.note_load(outcome.load, now)
-            target.note_answer(now - began)
+            target.note_answer(now - sent_at)
             target.note_connection(outcome.kept_s, now)
         case Refused(reason=RefusalReason.FULL):
             if outcome.load is not None:
--- a/src/bankrudder/relay/_streaming.py
+++ b/src/bankrudder/relay/_streaming.py
@@ -186,7 +186,7 @@
         """Close the open attempt, if any, and report the request to the crash guard."""
         self._crashes.tell(self._content)
         if self._attempt is not None and not self._is_answered:
-            self._crashes.note_left(self._attempt.send)
+            self._crashes.note_abandoned(self._attempt.send)
         await self._close()
 
     async def _resume(self, reason: str) -> OpenedStream:
--- a/tests/cli/test_find.py
+++ b/tests/cli/test_find.py
@@ -22,7 +22,7 @@
         "request": "q2",
         "content": "c",
     },
-    {"timestamp": "6", "event": "crashes: endpoint left a request", "content": "c"},
+    {"timestamp": "6", "event": "crashes: endpoint gave no answer", "content": "c"},
     {
         "timestamp": "7",
         "event": "relay: attempt failed",
--- a/tests/crashes/test_content.py
+++ b/tests/crashes/test_content.py
@@ -1,4 +1,4 @@
-"""A request is known again by what it asks, and never taken for another one."""
+"""Equal requests have equal content digests, and different requests do not."""
 
 import pytest
 from hypothesis import given
@@ -6,7 +6,7 @@
 
 from bankrudder.crashes import content_id
 
-ASKED = {
+REQUEST = {
     "method": "POST",
     "host": "site.test",
     "target": "/score/1?a=1",
@@ -16,8 +16,8 @@
 PARTS = st.tuples(st.text(max_size=4), st.text(max_size=4), st.text(max_size=4))
 
 
-def test_the_same_request_is_known_again():
-    assert content_id(**ASKED) == content_id(**{**ASKED, "host": "SITE.test"})
+def test_equal_requests_have_the_same_content():
+    assert content_id(**REQUEST) == content_id(**{**REQUEST, "host": "SITE.test"})
 
 
 @pytest.mark.parametrize(
@@ -31,12 +31,12 @@
         {"identity": ("broker", "")},
     ],
 )
-def test_another_request_is_another_content(change):
-    assert content_id(**ASKED) != content_id(**{**ASKED, **change})
+def test_different_requests_have_different_contents(change):
+    assert content_id(**REQUEST) != content_id(**{**REQUEST, **change})
 
 
 @given(PARTS, PARTS)
-def test_parts_do_not_run_into_each_other(first, second):
+def test_boundaries_between_parts_are_part_of_the_content(first, second):
     host = "site.test"
     contents = [content_id(a, host, b, c.encode()) for a, b, c in (first, second)]
     assert (contents[0] == contents[1]) == (first == second)
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -28,7 +28,7 @@
     """A crash guard that refuses nothing and records abandoned attempts."""
 
     def __init__(self):
-        self.left = []
+        self.abandoned = []
 
     def verdict(self, content):
         return FREE
@@ -36,8 +36,8 @@
     def tell(self, content):
         pass
 
-    def note_left(self, send):
-        self.left.append(send.target.endpoint.id)
+    def note_abandoned(self, send):
+        self.abandoned.append(send.target.endpoint.id)
 
 
 @pytest.fixture
@@ -61,4 +61,4 @@
     with pytest.raises(asyncio.CancelledError):
         await asked
     assert directory.get("e").in_flight == 0
-    assert guard.left == ["e"]
+    assert guard.abandoned == ["e"]
