--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -149,7 +149,7 @@
         try:
             await self._run_until_whole(trace)
         finally:
-            self._crashes.tell(self._content)
+            self._crashes.share_strikes(self._content)
 
     async def _run_until_whole(self, trace: str) -> None:
         while not self._text.is_whole:
@@ -178,9 +178,9 @@
         """Wait while the sample may not run; return whether engines ended under it."""
         is_logged = False
         while True:
-            verdict = self._crashes.verdict(self._content)
-            if verdict.admission is not Admission.REFUSED:
-                return verdict.admission is Admission.ALONE
+            decision = self._crashes.decision(self._content)
+            if decision.admission is not Admission.REFUSED:
+                return decision.admission is Admission.ALONE
             if not is_logged:
                 is_logged = True
                 _log.warning(
@@ -189,10 +189,10 @@
                     sample=self._sample.id,
                     content=self._content,
                     reason="crashes_endpoints",
-                    strikes=verdict.strikes,
-                    retry_after_s=round(verdict.retry_after_s, 1),
+                    strikes=decision.strikes,
+                    retry_after_s=round(decision.retry_after_s, 1),
                 )
-            await asyncio.sleep(min(verdict.retry_after_s, MOST_HELD_S))
+            await asyncio.sleep(min(decision.retry_after_s, MOST_HELD_S))
 
     def _demand(self, route: Route, is_suspect: bool) -> SlotDemand:
         return SlotDemand(
@@ -219,11 +219,13 @@
         async with AsyncExitStack() as stack:
             stream = self._client.open_stream(target.endpoint, self._outgoing())
             match await opened(stack, stream):
-                case OpenedStream(version=version, events=events, kept_s=kept_s):
+                case OpenedStream(
+                    version=version, events=events, keep_alive_s=keep_alive_s
+                ):
                     await self._take_stream(target, demand, version, events)
                     if self._text.is_whole:
                         now = self._clock.monotonic()
-                        target.note_connection(kept_s, now)
+                        target.note_connection(keep_alive_s, now)
                 case Refused(reason=RefusalReason.FULL):
                     self._dispatcher.pause(target, self._batch.model)
                 case Refused(reason=reason):
--- a/src/bankrudder/calls/_admission.py
+++ b/src/bankrudder/calls/_admission.py
@@ -176,7 +176,7 @@
             return True  # it is refused at once where it would be sent
         now = self._clock.monotonic()
         places = sum(each.endpoint.slots - terms.reserved_above for each in endpoints)
-        others = sum(each.others_load(now) for each in endpoints)
+        others = sum(each.other_hosts_load(now) for each in endpoints)
         own = max(queue.admitted, sum(each.in_flight for each in endpoints))
         return own + others < max(places, 1)
 
--- a/src/bankrudder/crashes/__init__.py
+++ b/src/bankrudder/crashes/__init__.py
@@ -8,10 +8,10 @@
 from bankrudder.crashes._values import (
     FREE,
     Admission,
+    AdmissionDecision,
     Send,
     Strike,
     UnixTime,
-    Verdict,
 )
 
 __all__ = [
@@ -26,7 +26,7 @@
     "Send",
     "Strike",
     "UnixTime",
-    "Verdict",
+    "AdmissionDecision",
     "content_id",
     "first_evidence",
     "decide_admission",
--- a/src/bankrudder/crashes/_admission.py
+++ b/src/bankrudder/crashes/_admission.py
@@ -26,7 +26,13 @@
 from collections.abc import Iterable, Mapping
 
 from bankrudder.crashes._content import ContentId
-from bankrudder.crashes._values import FREE, Admission, Strike, UnixTime, Verdict
+from bankrudder.crashes._values import (
+    FREE,
+    Admission,
+    AdmissionDecision,
+    Strike,
+    UnixTime,
+)
 from bankrudder.fleet import EndpointRun
 
 CRASH_LIMIT = 3
@@ -61,24 +67,24 @@
 
 def decide_admission(
     content: ContentId, strikes: StrikesByContent, now: UnixTime
-) -> Verdict:
+) -> AdmissionDecision:
     """Return whether a request with this content may be sent now."""
     own_strikes = strikes.get(content)
     if not own_strikes:
         return FREE
     counted = _unexplained_runs(content, strikes)
     if len(counted) < ALONE_THRESHOLD:
-        return Verdict(Admission.FREE, len(counted))
+        return AdmissionDecision(Admission.FREE, len(counted))
     count = _sequential_count(own_strikes[run] for run in counted)
     if count < CRASH_LIMIT:
-        return Verdict(Admission.ALONE, count)
+        return AdmissionDecision(Admission.ALONE, count)
     last = max(own_strikes[run].lost_at for run in counted)
     pause_s = _pause_s(count - CRASH_LIMIT, _is_unambiguous(content, counted, strikes))
     # A clock that is set back must not extend the refusal period.
     left_s = min(last + pause_s - now, pause_s)
     if left_s <= 0:
-        return Verdict(Admission.ALONE, count)
-    return Verdict(Admission.REFUSED, count, left_s)
+        return AdmissionDecision(Admission.ALONE, count)
+    return AdmissionDecision(Admission.REFUSED, count, left_s)
 
 
 def is_outdated(runs: Mapping[EndpointRun, Strike], now: UnixTime) -> bool:
--- a/src/bankrudder/crashes/_evidence.py
+++ b/src/bankrudder/crashes/_evidence.py
@@ -10,7 +10,7 @@
 
 from enum import Enum
 
-from bankrudder.fleet import Reach, Readiness, TrackedEndpoint
+from bankrudder.fleet import ProbeResult, Readiness, TrackedEndpoint
 
 LISTED_ALIVE_S = 8.0
 """Time after which an endpoint that is still listed is considered alive. The platform
@@ -43,7 +43,7 @@
     LIVES = "lives"
 
 
-def first_evidence(target: TrackedEndpoint, reach: Reach) -> Evidence:
+def first_evidence(target: TrackedEndpoint, reach: ProbeResult) -> Evidence:
     """Return the evidence after the first probe of the endpoint's address."""
     if _is_planned_stop(target):
         return Evidence.LIVES
@@ -51,7 +51,7 @@
         return Evidence.ENDED
     if not target.is_listed:
         return Evidence.LIVES
-    if reach is Reach.NOT_LISTENING:
+    if reach is ProbeResult.NOT_LISTENING:
         return Evidence.PROBABLY_ENDED
     return Evidence.OPEN
 
--- a/src/bankrudder/crashes/_guard.py
+++ b/src/bankrudder/crashes/_guard.py
@@ -16,14 +16,20 @@
 )
 from bankrudder.crashes._records import CRASHES_TABLE, decode_strike, row_key
 from bankrudder.crashes._registry import StrikeRegistry
-from bankrudder.crashes._values import Admission, Send, Strike, UnixTime, Verdict
+from bankrudder.crashes._values import (
+    Admission,
+    AdmissionDecision,
+    Send,
+    Strike,
+    UnixTime,
+)
 from bankrudder.crashes._writing import StrikeWriter
 from bankrudder.fleet import (
     EndpointClient,
     EndpointDirectory,
     EndpointRun,
     LossReason,
-    Reach,
+    ProbeResult,
     TrackedEndpoint,
 )
 from bankrudder.store import ReadPace, Row, RowKey, Store, TableFollower
@@ -106,7 +112,7 @@
         self._writer = StrikeWriter(store)
         self._wall_offset = clock.wall() - clock.monotonic()
         self._losses: list[_Loss] = []
-        self._probes: dict[EndpointRun, asyncio.Task[Reach]] = {}
+        self._probes: dict[EndpointRun, asyncio.Task[ProbeResult]] = {}
         self._examinations: set[asyncio.Task[None]] = set()
         self._stored: dict[RowKey, Strike] = {}
         self._follower = TableFollower(
@@ -121,15 +127,15 @@
     @property
     def refused_count(self) -> int:
         """Number of contents that are currently refused."""
-        verdicts = self._registry.verdicts(self._now())
-        return sum(each.admission is Admission.REFUSED for each in verdicts)
+        decisions = self._registry.decisions(self._now())
+        return sum(each.admission is Admission.REFUSED for each in decisions)
 
     def __len__(self) -> int:
         return len(self._registry)
 
-    def verdict(self, content: ContentId) -> Verdict:
+    def decision(self, content: ContentId) -> AdmissionDecision:
         """Return whether a request with this content may be sent now."""
-        return self._registry.verdict(content, self._now())
+        return self._registry.decision(content, self._now())
 
     async def note_lost(self, send: Send, reason: LossReason) -> None:
         """Record that an endpoint gave no answer to a request.
@@ -159,7 +165,7 @@
             "crashes: cleared by an answer", content=content, strikes=len(strikes)
         )
 
-    def tell(self, content: ContentId) -> None:
+    def share_strikes(self, content: ContentId) -> None:
         """Share the strikes of a request that got no answer with all hosts."""
         for strike in self._registry.strikes(content):
             self._store_strike(strike)
@@ -188,11 +194,11 @@
         await asyncio.sleep(ABANDONED_PROBE_DELAY_S)
         await self._examine(send, lost_at)
         # There is no further attempt that would share the strikes.
-        self.tell(send.content)
+        self.share_strikes(send.content)
 
     async def _examine(self, send: Send, lost_at: float) -> None:
         target = send.target
-        reach = Reach.UNKNOWN
+        reach = ProbeResult.UNKNOWN
         if not target.has_ended:
             reach = await self._probe(target)
         loss = _Loss(send, lost_at, first_evidence(target, reach))
@@ -208,7 +214,7 @@
         if loss.evidence in (Evidence.ENDED, Evidence.PROBABLY_ENDED):
             self._add_strike(loss)
 
-    async def _probe(self, target: TrackedEndpoint) -> Reach:
+    async def _probe(self, target: TrackedEndpoint) -> ProbeResult:
         run = target.run
         probe = self._probes.get(run)
         if probe is None:
@@ -253,17 +259,17 @@
     def _add_strike(self, loss: _Loss) -> None:
         strike = self._strike_for(loss)
         self._delete_all_stored(self._registry.add(strike))
-        verdict = self.verdict(loss.content)
+        decision = self.decision(loss.content)
         _log.warning(
             "crashes: endpoint ended under a request",
             content=loss.content,
             endpoint=loss.target.endpoint.id,
-            strikes=verdict.strikes,
-            admission=verdict.admission.value,
-            retry_after_s=round(verdict.retry_after_s, 1),
+            strikes=decision.strikes,
+            admission=decision.admission.value,
+            retry_after_s=round(decision.retry_after_s, 1),
         )
-        if verdict.admission is not Admission.FREE:
-            self.tell(loss.content)
+        if decision.admission is not Admission.FREE:
+            self.share_strikes(loss.content)
 
     def _strike_for(self, loss: _Loss) -> Strike:
         """Return the strike of a loss, with Unix times that other hosts can compare."""
--- a/src/bankrudder/crashes/_records.py
+++ b/src/bankrudder/crashes/_records.py
@@ -11,7 +11,7 @@
 
 from bankrudder.crashes._content import ContentId
 from bankrudder.crashes._values import Strike, UnixTime
-from bankrudder.fleet import Birth, EndpointId, EndpointRun
+from bankrudder.fleet import EndpointId, EndpointRun, StartTime
 from bankrudder.store import Put, RowKey
 
 CRASHES_TABLE = "crashes"
@@ -26,7 +26,7 @@
     endpoint: EndpointId
     began: UnixTime
     at: UnixTime
-    born: Birth | None = None
+    born: StartTime | None = None
 
 
 def row_key(strike: Strike) -> RowKey:
--- a/src/bankrudder/crashes/_registry.py
+++ b/src/bankrudder/crashes/_registry.py
@@ -4,7 +4,7 @@
 
 from bankrudder.crashes._admission import decide_admission, is_outdated
 from bankrudder.crashes._content import ContentId
-from bankrudder.crashes._values import FREE, Strike, UnixTime, Verdict
+from bankrudder.crashes._values import FREE, AdmissionDecision, Strike, UnixTime
 from bankrudder.fleet import EndpointRun
 
 MAX_CONTENTS = 1000
@@ -28,7 +28,7 @@
     def __contains__(self, content: ContentId) -> bool:
         return content in self._strikes
 
-    def verdict(self, content: ContentId, now: UnixTime) -> Verdict:
+    def decision(self, content: ContentId, now: UnixTime) -> AdmissionDecision:
         """Return whether a request with this content may be sent now."""
         if content not in self._strikes:
             return FREE
@@ -72,7 +72,7 @@
         old = [key for key, runs in self._strikes.items() if is_outdated(runs, now)]
         return [strike for content in old for strike in self.clear(content)]
 
-    def verdicts(self, now: UnixTime) -> Iterable[Verdict]:
+    def decisions(self, now: UnixTime) -> Iterable[AdmissionDecision]:
         """Return the decision on each content."""
         return (
             decide_admission(content, self._strikes, now) for content in self._strikes
--- a/src/bankrudder/crashes/_values.py
+++ b/src/bankrudder/crashes/_values.py
@@ -50,7 +50,7 @@
     REFUSED = "refused"
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class AdmissionDecision(msgspec.Struct, frozen=True):
     """The decision whether a request with a content may be sent.
 
     Attributes
@@ -66,5 +66,5 @@
     retry_after_s: float = 0.0
 
 
-FREE = Verdict(Admission.FREE)
+FREE = AdmissionDecision(Admission.FREE)
 """The decision for a content without strikes."""
--- a/src/bankrudder/fleet/__init__.py
+++ b/src/bankrudder/fleet/__init__.py
@@ -1,6 +1,6 @@
 """Endpoints: their tracked state, their selection, and the interface to call them."""
 
-from bankrudder.fleet._directory import RETURN_S, EndpointDirectory
+from bankrudder.fleet._directory import RELISTING_WAIT_S, EndpointDirectory
 from bankrudder.fleet._run_end import RunEndedError, within_run
 from bankrudder.fleet._sending import (
     Answered,
@@ -13,7 +13,7 @@
     OpenedStream,
     OrderOutcome,
     OutgoingRequest,
-    Reach,
+    ProbeResult,
     RefusalReason,
     Refused,
     SendOutcome,
@@ -25,19 +25,19 @@
 )
 from bankrudder.fleet._tracked import TrackedEndpoint
 from bankrudder.fleet._values import (
-    Birth,
     Endpoint,
     EndpointId,
     EndpointRun,
     ModelState,
     Readiness,
     ReportedLoad,
+    StartTime,
 )
 
 __all__ = [
-    "RETURN_S",
+    "RELISTING_WAIT_S",
     "Answered",
-    "Birth",
+    "StartTime",
     "Endpoint",
     "EndpointClient",
     "EndpointDirectory",
@@ -52,7 +52,7 @@
     "OpenedStream",
     "OrderOutcome",
     "OutgoingRequest",
-    "Reach",
+    "ProbeResult",
     "Readiness",
     "RefusalReason",
     "Refused",
--- a/src/bankrudder/fleet/_directory.py
+++ b/src/bankrudder/fleet/_directory.py
@@ -12,7 +12,7 @@
 from bankrudder.routing import ServiceName
 from bankrudder.world import Clock, DataCentreName
 
-RETURN_S = 2.0
+RELISTING_WAIT_S = 2.0
 """Time after a store outage within which the platform lists endpoints again whose
 entries lapsed during the outage, by its contract. Until then the endpoints are kept."""
 
@@ -136,7 +136,7 @@
             born_before=known.run.born,
             in_flight=known.in_flight,
         )
-        known.end()
+        known.mark_ended()
 
     def remove(self, endpoint_id: EndpointId, keep_until: float) -> None:
         """Remove an endpoint, now or at `keep_until` unless it is listed again by then.
@@ -150,10 +150,10 @@
             self._missing[endpoint_id] = keep_until
             return
         self._missing.pop(endpoint_id, None)
-        self._tracked.pop(endpoint_id).unlist()
+        self._tracked.pop(endpoint_id).mark_unlisted()
         _log.info("fleet: endpoint gone", endpoint=endpoint_id)
 
-    def remove_overdue(self) -> None:
+    def remove_expired(self) -> None:
         """Remove the endpoints that were not listed again in time."""
         now = self._clock.monotonic()
         for endpoint_id in [key for key, at in self._missing.items() if at <= now]:
@@ -235,7 +235,7 @@
     def _candidate(self, each: TrackedEndpoint, now: float) -> Candidate:
         return Candidate(
             slots=each.endpoint.slots,
-            load=each.in_flight + each.others_load(now),
+            load=each.in_flight + each.other_hosts_load(now),
             latency_s=each.latency_s,
             is_local=each.endpoint.data_centre == self._data_centre,
             is_connected=each.is_connected(now),
--- a/src/bankrudder/fleet/_sending.py
+++ b/src/bankrudder/fleet/_sending.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bankrudder.fleet._values import Birth, Endpoint, ReportedLoad
+from bankrudder.fleet._values import Endpoint, ReportedLoad, StartTime
 from bankrudder.routing import ModelName
 from bankrudder.world import NO_WORKSPACE, ModelVersion, WorkspaceName
 
@@ -98,8 +98,9 @@
 class Answered(msgspec.Struct, frozen=True):
     """The endpoint ran the request and its answer is complete.
 
-    ``proof`` is the endpoint's receipt, empty if it sent none. ``kept_s`` is the time
-    for which the connection is kept alive for further requests, 0 if it was closed.
+    ``proof`` is the endpoint's receipt, empty if it sent none. ``keep_alive_s`` is the
+    time for which the connection is kept alive for further requests, 0 if it was
+    closed.
     """
 
     status: int
@@ -107,7 +108,7 @@
     body: bytes
     load: ReportedLoad | None = None
     proof: str = ""
-    kept_s: float = 0.0
+    keep_alive_s: float = 0.0
 
 
 class Refused(msgspec.Struct, frozen=True):
@@ -156,15 +157,15 @@
 
     ``events`` is exhausted only after the last event, and raises `StreamBrokenError` if
     the stream ends before. ``version`` is the version of the weights at the first
-    event. ``kept_s`` is the time for which the connection is kept alive after the last
-    event, 0 if it is closed.
+    event. ``keep_alive_s`` is the time for which the connection is kept alive after the
+    last event, 0 if it is closed.
     """
 
     status: int
     headers: Headers
     version: ModelVersion | None
     events: AsyncIterator[StreamEvent]
-    kept_s: float = 0.0
+    keep_alive_s: float = 0.0
 
 
 StreamOutcome = OpenedStream | Answered | Refused | Lost
@@ -181,7 +182,7 @@
         Whether the engine is executing an order.
     running : int
         Number of requests that the engine is processing.
-    born : Birth or None
+    born : StartTime or None
         Start time of this run of the engine, None if it reports none.
     """
 
@@ -189,7 +190,7 @@
     is_busy: bool
     versions: dict[ModelName, ModelVersion]
     running: int = 0
-    born: Birth | None = None
+    born: StartTime | None = None
 
 
 class SwitchMode(Enum):
@@ -235,7 +236,7 @@
     """The order may have been accepted, or may still be accepted seconds later."""
 
 
-class Reach(Enum):
+class ProbeResult(Enum):
     """The result of an attempt to connect to an endpoint's address."""
 
     LISTENING = "listening"
@@ -257,7 +258,7 @@
         """Send a request whose answer is a stream; leaving the context closes it."""
         ...
 
-    async def reach(self, endpoint: Endpoint) -> Reach:
+    async def reach(self, endpoint: Endpoint) -> ProbeResult:
         """Check whether a process listens at an endpoint's address."""
         ...
 
--- a/src/bankrudder/fleet/_tracked.py
+++ b/src/bankrudder/fleet/_tracked.py
@@ -19,7 +19,7 @@
 each further failure up to the maximum. A restart takes a few seconds, and the
 endpoint's new run is not suspended."""
 
-LOADING_S = 2.0
+LOADING_TIMEOUT_S = 2.0
 """Time after which an engine is assumed to have loaded a version if no completion is
 reported, because the host that gives orders may fail meanwhile. It is twice the
 duration of a load."""
@@ -161,7 +161,7 @@
             self._idle_until.pop(0)
         return bool(self._idle_until)
 
-    def others_load(self, now: float) -> int:
+    def other_hosts_load(self, now: float) -> int:
         """Return the requests of other hosts, by the last load report if recent."""
         if self._load is None or now - self._load_at > MAX_LOAD_AGE_S:
             return 0
@@ -169,7 +169,7 @@
 
     def free_slots(self, now: float) -> int:
         """Return the slots not known to be in use, negative if requests are queued."""
-        return self._endpoint.slots - self.in_flight - self.others_load(now)
+        return self._endpoint.slots - self.in_flight - self.other_hosts_load(now)
 
     def occupy(self, is_suspect: bool = False) -> Callable[[], None]:
         """Count a request of this host; return a callable to be called at its end."""
@@ -196,11 +196,11 @@
         """Record that the entry cannot be decoded; no new requests until it can be."""
         self._is_readable = False
 
-    def unlist(self) -> None:
+    def mark_unlisted(self) -> None:
         """Record that the platform no longer lists the endpoint."""
         self._is_listed = False
 
-    def end(self) -> None:
+    def mark_ended(self) -> None:
         """Record that a later run of the endpoint has started."""
         self._has_ended = True
         for callback in list(self._on_end):
@@ -227,7 +227,7 @@
 
     def note_loading(self, model: ModelName, version: ModelVersion, now: float) -> None:
         """Record that the endpoint loads a version and refuses samples of the model."""
-        self._loading[model] = (version, now + LOADING_S)
+        self._loading[model] = (version, now + LOADING_TIMEOUT_S)
 
     def is_loading(self, model: ModelName, now: float) -> bool:
         """Whether the endpoint refuses samples of a model while it loads a version."""
@@ -243,10 +243,10 @@
         self.note_alive()
         self._latency_s = _updated_mean(self._latency_s, latency_s)
 
-    def note_connection(self, kept_s: float, now: float) -> None:
+    def note_connection(self, keep_alive_s: float, now: float) -> None:
         """Record how long the connection of an answer stays open, 0 if it is closed."""
-        if kept_s > 0:
-            self._idle_until.append(now + kept_s)
+        if keep_alive_s > 0:
+            self._idle_until.append(now + keep_alive_s)
             del self._idle_until[:-MAX_IDLE_CONNECTIONS]
 
     def take_connection(self) -> None:
--- a/src/bankrudder/fleet/_values.py
+++ b/src/bankrudder/fleet/_values.py
@@ -11,7 +11,7 @@
 EndpointId = NewType("EndpointId", str)
 """Name of an endpoint. A restarted endpoint keeps its name; see `EndpointRun`."""
 
-Birth = NewType("Birth", int)
+StartTime = NewType("StartTime", int)
 """Unix time in milliseconds at which a run of an endpoint started, by the clock of the
 endpoint. It is compared only with other start times of the same endpoint."""
 
@@ -24,12 +24,12 @@
 
     Attributes
     ----------
-    born : Birth or None
+    born : StartTime or None
         Start time of the run, None if the endpoint does not report it.
     """
 
     endpoint: EndpointId
-    born: Birth | None = None
+    born: StartTime | None = None
 
     def is_after(self, other: "EndpointRun") -> bool:
         """Whether this run is known to have started after `other`."""
@@ -63,7 +63,7 @@
         Number of requests that the endpoint processes concurrently.
     models : tuple of ModelState
         Models that the endpoint serves, with versions that may be out of date.
-    born : Birth or None
+    born : StartTime or None
         Start time of the endpoint's run, None if the endpoint does not report it.
     """
 
@@ -74,7 +74,7 @@
     slots: int
     readiness: Readiness = Readiness.READY
     models: tuple[ModelState, ...] = ()
-    born: Birth | None = None
+    born: StartTime | None = None
 
     @property
     def run(self) -> EndpointRun:
--- a/src/bankrudder/node/_world_view.py
+++ b/src/bankrudder/node/_world_view.py
@@ -6,7 +6,7 @@
 import structlog
 
 from bankrudder.fleet import (
-    RETURN_S,
+    RELISTING_WAIT_S,
     EndpointDirectory,
     EndpointId,
     ModelState,
@@ -137,7 +137,7 @@
         while True:
             await asyncio.sleep(OVERDUE_LOOK_S)
             if self._endpoints.lost_since is None:
-                self._directory.remove_overdue()
+                self._directory.remove_expired()
 
     def _on_document(self, row: Row) -> None:
         key = row.key.key
@@ -189,5 +189,5 @@
         regained_at = self._endpoints.regained_at
         if self._endpoints.lost_since is not None:
             regained_at = self._clock.monotonic()
-        keep_until = 0.0 if regained_at is None else regained_at + RETURN_S
+        keep_until = 0.0 if regained_at is None else regained_at + RELISTING_WAIT_S
         self._directory.remove(EndpointId(key.key), keep_until)
--- a/src/bankrudder/orders/_announcing.py
+++ b/src/bankrudder/orders/_announcing.py
@@ -12,10 +12,10 @@
 import structlog
 
 from bankrudder.fleet import (
-    Birth,
     EndpointDirectory,
     EndpointId,
     EndpointRun,
+    StartTime,
     TrackedEndpoint,
 )
 from bankrudder.routing import ModelName
@@ -34,7 +34,7 @@
     model: ModelName
     version: ModelVersion
     is_loading: bool = False
-    born: Birth | None = None
+    born: StartTime | None = None
     """Birth of the engine's run that was given the order."""
 
 
--- a/src/bankrudder/orders/_paces.py
+++ b/src/bankrudder/orders/_paces.py
@@ -12,10 +12,10 @@
 import structlog
 
 from bankrudder.fleet import (
-    Birth,
     EndpointDirectory,
     EndpointId,
     EndpointRun,
+    StartTime,
     TrackedEndpoint,
 )
 from bankrudder.store import (
@@ -51,7 +51,7 @@
     """
 
     gap_s: float
-    born: Birth | None = None
+    born: StartTime | None = None
 
 
 class EnginePaces:
--- a/src/bankrudder/platform/_documents.py
+++ b/src/bankrudder/platform/_documents.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from bankrudder.fleet import Birth, Endpoint, EndpointId, ModelState, Readiness
+from bankrudder.fleet import Endpoint, EndpointId, ModelState, Readiness, StartTime
 from bankrudder.node import UnreadableDocumentError
 from bankrudder.routing import (
     CallerLimits,
@@ -128,7 +128,7 @@
     cold_ms: float
     sequence: int
     models: list[_WireModel] = []
-    born: Birth | msgspec.UnsetType = msgspec.UNSET
+    born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
     def __post_init__(self) -> None:
         if self.state not in _STATES:
--- a/src/bankrudder/platform/_endpoint_client.py
+++ b/src/bankrudder/platform/_endpoint_client.py
@@ -12,7 +12,6 @@
 
 from bankrudder.fleet import (
     Answered,
-    Birth,
     Endpoint,
     EngineState,
     LossReason,
@@ -20,10 +19,11 @@
     OpenedStream,
     OrderOutcome,
     OutgoingRequest,
-    Reach,
+    ProbeResult,
     RefusalReason,
     Refused,
     SendOutcome,
+    StartTime,
     StreamOutcome,
     SwitchMode,
     VersionOrder,
@@ -79,7 +79,7 @@
     busy: bool = False
     models: list[_WireModelState] = []
     num_running: int = 0
-    born: Birth | msgspec.UnsetType = msgspec.UNSET
+    born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
 
 class HttpEndpointClient:
@@ -102,8 +102,12 @@
                     return Lost(LossReason.FOREIGN_ANSWER)
                 outcome = await whole_answer(response)
                 if isinstance(outcome, Answered):
-                    kept_s = self._sessions.kept_s(endpoint, request, response)
-                    outcome = msgspec.structs.replace(outcome, kept_s=kept_s)
+                    keep_alive_s = self._sessions.keep_alive_s(
+                        endpoint, request, response
+                    )
+                    outcome = msgspec.structs.replace(
+                        outcome, keep_alive_s=keep_alive_s
+                    )
                 return outcome
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             return Refused(_unreached(error))
@@ -126,8 +130,8 @@
             self._sessions.learn_idle_time(endpoint, response)
             outcome = await stream_outcome(response, request)
             if isinstance(outcome, OpenedStream):
-                kept_s = self._sessions.kept_s(endpoint, request, response)
-                outcome = msgspec.structs.replace(outcome, kept_s=kept_s)
+                keep_alive_s = self._sessions.keep_alive_s(endpoint, request, response)
+                outcome = msgspec.structs.replace(outcome, keep_alive_s=keep_alive_s)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             outcome = Refused(_unreached(error))
         except TimeoutError:
@@ -141,18 +145,18 @@
                 # Closes the connection unless the answer was read to its end.
                 response.close()
 
-    async def reach(self, endpoint: Endpoint) -> Reach:
+    async def reach(self, endpoint: Endpoint) -> ProbeResult:
         """Find out whether anybody listens at an endpoint's address."""
         host, _, port = endpoint.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(host, int(port))
         except ConnectionRefusedError:
-            return Reach.NOT_LISTENING
+            return ProbeResult.NOT_LISTENING
         except (OSError, TimeoutError):
-            return Reach.UNKNOWN
+            return ProbeResult.UNKNOWN
         writer.close()
-        return Reach.LISTENING
+        return ProbeResult.LISTENING
 
     async def state(self, endpoint: Endpoint) -> EngineState | None:
         """Ask an engine for its state, None if it does not tell."""
--- a/src/bankrudder/platform/_endpoint_sessions.py
+++ b/src/bankrudder/platform/_endpoint_sessions.py
@@ -86,7 +86,7 @@
             self._connectors[kind].keep_idle(idle_s)
         return self._sessions[kind]
 
-    def kept_s(
+    def keep_alive_s(
         self,
         endpoint: Endpoint,
         request: OutgoingRequest,
--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from bankrudder.crashes import Admission, ContentId, CrashGuard, Send, Verdict
+from bankrudder.crashes import Admission, AdmissionDecision, ContentId, CrashGuard, Send
 from bankrudder.fleet import (
     Answered,
     EndpointClient,
@@ -123,7 +123,7 @@
                     self._run_count += len(self._sends)
                     return self._give_up()
         finally:
-            self._crashes.tell(self._content)
+            self._crashes.share_strikes(self._content)
             self._cancel()
             if self._began_at is not None:
                 self._meter.note_begun(self._request.workspace, self._began_at)
@@ -167,7 +167,7 @@
         )
 
     def _is_admitted(self) -> bool:
-        match self._verdict().admission:
+        match self._decision().admission:
             case Admission.FREE:
                 return True
             case Admission.ALONE:
@@ -176,7 +176,7 @@
                 return False
 
     def _is_suspect(self) -> bool:
-        return self._verdict().admission is Admission.ALONE
+        return self._decision().admission is Admission.ALONE
 
     def _must_wait_for_suspects(self) -> bool:
         """Whether the request can be sent only once another suspect has finished."""
@@ -186,8 +186,8 @@
             and any(each.suspects for each in self._endpoints())
         )
 
-    def _verdict(self) -> Verdict:
-        return self._crashes.verdict(self._content)
+    def _decision(self) -> AdmissionDecision:
+        return self._crashes.decision(self._content)
 
     async def _send(self, target: TrackedEndpoint) -> SendOutcome:
         sent_at = self._clock.monotonic()
@@ -304,7 +304,7 @@
         return Unanswered(RejectReason.ENDPOINT_FAILED, False)
 
     def _not_run(self) -> NotRun:
-        refusal = crash_refusal(self._verdict())
+        refusal = crash_refusal(self._decision())
         if refusal is not None:
             return refusal
         reason = RejectReason.FULL if self._endpoints() else RejectReason.NO_ENDPOINT
--- a/src/bankrudder/relay/_forwarder.py
+++ b/src/bankrudder/relay/_forwarder.py
@@ -51,8 +51,8 @@
 
         Callers of `forward` that queue requests check this before queueing one.
         """
-        verdict = self._crashes.verdict(request.content)
-        refusal = crash_refusal(verdict)
+        decision = self._crashes.decision(request.content)
+        refusal = crash_refusal(decision)
         if refusal is None:
             return None
         _log.warning(
@@ -60,8 +60,8 @@
             request=request.request_id,
             content=request.content,
             reason=refusal.reason.value,
-            strikes=verdict.strikes,
-            retry_after_s=round(verdict.retry_after_s, 1),
+            strikes=decision.strikes,
+            retry_after_s=round(decision.retry_after_s, 1),
         )
         return refusal
 
--- a/src/bankrudder/relay/_outcomes.py
+++ b/src/bankrudder/relay/_outcomes.py
@@ -2,7 +2,7 @@
 
 import structlog
 
-from bankrudder.crashes import Admission, Verdict
+from bankrudder.crashes import Admission, AdmissionDecision
 from bankrudder.fleet import (
     Answered,
     LossReason,
@@ -17,11 +17,11 @@
 _log = structlog.get_logger("relay")
 
 
-def crash_refusal(verdict: Verdict) -> NotRun | None:
+def crash_refusal(decision: AdmissionDecision) -> NotRun | None:
     """Return the reply to a request that is refused for crashes, None if it is not."""
-    if verdict.admission is not Admission.REFUSED:
+    if decision.admission is not Admission.REFUSED:
         return None
-    return NotRun(RejectReason.CRASHES_ENDPOINTS, verdict.retry_after_s)
+    return NotRun(RejectReason.CRASHES_ENDPOINTS, decision.retry_after_s)
 
 
 def note_outcome(
@@ -33,7 +33,7 @@
             if outcome.load is not None:
                 target.note_load(outcome.load, now)
             target.note_answer(now - sent_at)
-            target.note_connection(outcome.kept_s, now)
+            target.note_connection(outcome.keep_alive_s, now)
         case Refused(reason=RefusalReason.FULL):
             if outcome.load is not None:
                 target.note_load(outcome.load, now)
--- a/src/bankrudder/relay/_streaming.py
+++ b/src/bankrudder/relay/_streaming.py
@@ -184,7 +184,7 @@
 
     async def finish(self) -> None:
         """Close the open attempt, if any, and report the request to the crash guard."""
-        self._crashes.tell(self._content)
+        self._crashes.share_strikes(self._content)
         if self._attempt is not None and not self._is_answered:
             self._crashes.note_abandoned(self._attempt.send)
         await self._close()
@@ -283,7 +283,7 @@
             await asyncio.sleep(SUSPECT_PAUSE_S)
 
     def _admission(self) -> Admission:
-        return self._crashes.verdict(self._content).admission
+        return self._crashes.decision(self._content).admission
 
     async def _open_attempt(self, attempt: StreamAttempt) -> StreamOutcome:
         outgoing = self._request.outgoing(
@@ -311,7 +311,7 @@
             await attempt.close()
 
     def _give_up(self) -> Reply:
-        self._crashes.tell(self._content)
+        self._crashes.share_strikes(self._content)
         reply = self._unanswered() if self._run_count else self._not_run()
         _log.warning(
             "relay: stream given up",
@@ -331,7 +331,7 @@
         )
 
     def _not_run(self) -> NotRun:
-        refusal = crash_refusal(self._crashes.verdict(self._content))
+        refusal = crash_refusal(self._crashes.decision(self._content))
         if refusal is not None:
             return refusal
         reason = RejectReason.FULL if self._refusal_count else RejectReason.NO_ENDPOINT
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -12,7 +12,7 @@
     SlotDemand,
 )
 from bankrudder.fleet import Endpoint, EndpointDirectory, ModelState
-from bankrudder.fleet._tracked import LOADING_S, MAX_SUSPENSION_S
+from bankrudder.fleet._tracked import LOADING_TIMEOUT_S, MAX_SUSPENSION_S
 
 
 @pytest.fixture
@@ -101,7 +101,7 @@
     dispatcher, directory
 ):
     assert await granted(asked(dispatcher)) == ["a"]
-    directory.get("a").unlist()
+    directory.get("a").mark_unlisted()
     assert await granted(asked(dispatcher), asked(dispatcher)) == ["b", "b"]
 
 
@@ -191,7 +191,7 @@
 ):
     for name in ("a", "b"):
         directory.get(name).note_loading("m", 4, hand_clock.monotonic())
-    hand_clock.advance(LOADING_S)
+    hand_clock.advance(LOADING_TIMEOUT_S)
     assert await granted(asked(dispatcher)) != [None]
 
 
--- a/tests/crashes/test_admission.py
+++ b/tests/crashes/test_admission.py
@@ -6,8 +6,8 @@
     CRASH_LIMIT,
     FREE,
     Admission,
+    AdmissionDecision,
     Strike,
-    Verdict,
     decide_admission,
 )
 from bankrudder.fleet import EndpointRun
@@ -123,9 +123,9 @@
 def test_request_that_always_crashes_is_sent_less_and_less_often():
     now, strikes, tries = NOW, sequential_strikes(*range(CRASH_LIMIT), lost_at=NOW), 0
     while now < NOW + 24 * 3600.0:
-        verdict = decide_admission("a", {"a": strikes}, now)
-        if verdict.admission is Admission.REFUSED:
-            now += verdict.retry_after_s
+        decision = decide_admission("a", {"a": strikes}, now)
+        if decision.admission is Admission.REFUSED:
+            now += decision.retry_after_s
             continue
         strikes |= sequential_strikes(100 + tries, lost_at=now)
         tries += 1
@@ -138,7 +138,9 @@
 
 def test_crashes_of_overlapping_attempts_count_once():
     strikes = overlapping_strikes(*range(9))
-    assert decide_admission("a", {"a": strikes}, NOW) == Verdict(Admission.ALONE, 1)
+    assert decide_admission("a", {"a": strikes}, NOW) == AdmissionDecision(
+        Admission.ALONE, 1
+    )
     strikes |= overlapping_strikes(10, lost_at=NOW + 1.0)
     assert decide_admission("a", {"a": strikes}, NOW).strikes == 2
     strikes |= overlapping_strikes(11, 12, lost_at=NOW + 2.0)
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -8,7 +8,7 @@
     RESTART_DETECTION_S,
     UNLISTED_ENDED_S,
 )
-from bankrudder.fleet import Endpoint, Reach, Readiness, TrackedEndpoint
+from bankrudder.fleet import Endpoint, ProbeResult, Readiness, TrackedEndpoint
 
 ENTRY = Endpoint("e", "desk", "127.0.0.1:1", "north", slots=4)
 
@@ -27,9 +27,9 @@
 @pytest.mark.parametrize(
     ("reach", "expected"),
     [
-        (Reach.NOT_LISTENING, Evidence.PROBABLY_ENDED),
-        (Reach.LISTENING, Evidence.OPEN),
-        (Reach.UNKNOWN, Evidence.OPEN),
+        (ProbeResult.NOT_LISTENING, Evidence.PROBABLY_ENDED),
+        (ProbeResult.LISTENING, Evidence.OPEN),
+        (ProbeResult.UNKNOWN, Evidence.OPEN),
     ],
 )
 def test_only_a_refused_connection_is_evidence_for_a_crash(target, reach, expected):
@@ -37,27 +37,27 @@
 
 
 def test_later_run_proves_that_the_earlier_one_ended(target):
-    target.end()
-    assert first_evidence(target, Reach.LISTENING) is Evidence.ENDED
+    target.mark_ended()
+    assert first_evidence(target, ProbeResult.LISTENING) is Evidence.ENDED
     assert later_evidence(target, Evidence.OPEN, 0.1, None) is Evidence.ENDED
 
 
 def test_planned_stop_is_no_crash():
     leaving = tracked(Readiness.DRAINING)
-    assert first_evidence(leaving, Reach.NOT_LISTENING) is Evidence.LIVES
+    assert first_evidence(leaving, ProbeResult.NOT_LISTENING) is Evidence.LIVES
 
 
 @pytest.mark.parametrize("before", [Evidence.OPEN, Evidence.PROBABLY_ENDED])
 def test_planned_restart_under_the_same_name_is_no_crash(before):
     leaving = tracked(Readiness.DRAINING)
-    leaving.end()
-    assert first_evidence(leaving, Reach.LISTENING) is Evidence.LIVES
+    leaving.mark_ended()
+    assert first_evidence(leaving, ProbeResult.LISTENING) is Evidence.LIVES
     assert later_evidence(leaving, before, 1.0, True) is Evidence.LIVES
 
 
 def test_end_of_an_unlisted_endpoint_is_no_crash(target):
-    target.unlist()
-    assert first_evidence(target, Reach.NOT_LISTENING) is Evidence.LIVES
+    target.mark_unlisted()
+    assert first_evidence(target, ProbeResult.NOT_LISTENING) is Evidence.LIVES
 
 
 def later(target, before, age_s, is_listed):
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -6,7 +6,7 @@
 
 from bankrudder.crashes import Admission, CrashGuard, Send
 from bankrudder.crashes._evidence import LISTED_ALIVE_S
-from bankrudder.fleet import Endpoint, EndpointDirectory, LossReason, Reach
+from bankrudder.fleet import Endpoint, EndpointDirectory, LossReason, ProbeResult
 from bankrudder.store import ReadPace
 from outside.site import until
 from outside.store import GateMode
@@ -18,7 +18,7 @@
     """An endpoint client that reports the same probe result for each address."""
 
     def __init__(self):
-        self.reach_result = Reach.NOT_LISTENING
+        self.reach_result = ProbeResult.NOT_LISTENING
         self.probe_count = 0
 
     async def reach(self, endpoint):
@@ -55,7 +55,7 @@
         return Send(content, self.target(name), self.clock.monotonic())
 
     def admission(self, content="a"):
-        return self.guard.verdict(content).admission
+        return self.guard.decision(content).admission
 
 
 @pytest.fixture
@@ -106,15 +106,15 @@
     await host.lose("e1")
     await asyncio.sleep(0.1)
     assert stored_keys(rows) == []
-    host.guard.tell("a")
+    host.guard.share_strikes("a")
     await until(lambda: len(stored_keys(rows)) == 1)
 
 
 async def test_crash_after_a_cancelled_request_counts(make_host, rows, endpoints):
     first, second = make_host(), make_host()
-    endpoints.reach_result = Reach.LISTENING
+    endpoints.reach_result = ProbeResult.LISTENING
     first.guard.note_abandoned(first.send("e1"))
-    endpoints.reach_result = Reach.NOT_LISTENING
+    endpoints.reach_result = ProbeResult.NOT_LISTENING
     await until(lambda: len(stored_keys(rows)) == 1)
     await until(lambda: len(second.guard) == 1)
 
@@ -123,7 +123,7 @@
     make_host, endpoints
 ):
     host = make_host()
-    endpoints.reach_result = Reach.LISTENING
+    endpoints.reach_result = ProbeResult.LISTENING
     for name in ("e1", "e2", "e3"):
         host.guard.note_abandoned(host.send(name))
     await until(lambda: endpoints.probe_count == 3)
@@ -139,7 +139,7 @@
     await until(lambda: stored_keys(rows) == [])
 
 
-@pytest.mark.parametrize("reach", [Reach.LISTENING, Reach.UNKNOWN])
+@pytest.mark.parametrize("reach", [ProbeResult.LISTENING, ProbeResult.UNKNOWN])
 async def test_lost_answers_of_live_endpoints_do_not_count(make_host, endpoints, reach):
     endpoints.reach_result = reach
     host = make_host()
@@ -166,9 +166,9 @@
 
 async def test_later_loss_causes_a_new_probe(make_host, endpoints):
     host = make_host()
-    endpoints.reach_result = Reach.LISTENING
+    endpoints.reach_result = ProbeResult.LISTENING
     await host.lose("e1")
-    endpoints.reach_result = Reach.NOT_LISTENING
+    endpoints.reach_result = ProbeResult.NOT_LISTENING
     await host.lose("e1")
     assert (endpoints.probe_count, len(host.guard)) == (2, 1)
 
--- a/tests/crashes/test_registry.py
+++ b/tests/crashes/test_registry.py
@@ -21,13 +21,13 @@
 def test_run_counts_once_however_often_it_is_reported(registry):
     for _ in range(5):
         registry.add(strike())
-    assert registry.verdict("a", 0.0).strikes == 1
+    assert registry.decision("a", 0.0).strikes == 1
 
 
 def test_each_run_of_one_endpoint_counts(registry):
     for born in (1, 2, 3):
         registry.add(Strike("a", EndpointRun("endpoint", born), 0.0, 0.0))
-    assert registry.verdict("a", 0.0).admission is Admission.REFUSED
+    assert registry.decision("a", 0.0).admission is Admission.REFUSED
 
 
 def test_clear_removes_all_strikes_of_a_content(registry):
@@ -35,7 +35,7 @@
         registry.add(strike(run=run))
     assert len(registry.clear("a")) == 5
     assert "a" not in registry
-    assert registry.verdict("a", 0.0).admission is Admission.FREE
+    assert registry.decision("a", 0.0).admission is Admission.FREE
 
 
 def test_single_strike_can_be_removed(registry):
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -35,9 +35,9 @@
     for name in ("a", "b"):
         directory.get(name).note_load(ReportedLoad(4, 8, 4), hand_clock.monotonic())
     assert chosen(directory) == "c"
-    assert directory.get("a").others_load(hand_clock.monotonic()) == 12
+    assert directory.get("a").other_hosts_load(hand_clock.monotonic()) == 12
     hand_clock.advance(2.0)
-    assert directory.get("a").others_load(hand_clock.monotonic()) == 0
+    assert directory.get("a").other_hosts_load(hand_clock.monotonic()) == 0
 
 
 def test_failed_endpoint_is_suspended_for_a_while(directory, hand_clock):
@@ -82,10 +82,10 @@
     assert directory.get("a") is None
     assert not tracked.takes_work
     directory.remove("b", hand_clock.monotonic() + 2.0)
-    directory.remove_overdue()
+    directory.remove_expired()
     assert directory.get("b") is not None
     hand_clock.advance(2.1)
-    directory.remove_overdue()
+    directory.remove_expired()
     assert directory.get("b") is None
 
 
@@ -93,7 +93,7 @@
     directory.remove("a", hand_clock.monotonic() + 2.0)
     directory.put(endpoint("a"))
     hand_clock.advance(3.0)
-    directory.remove_overdue()
+    directory.remove_expired()
     assert directory.get("a") is not None
 
 
--- a/tests/fleet/test_runs.py
+++ b/tests/fleet/test_runs.py
@@ -46,7 +46,7 @@
     assert later.is_trusted
     assert not later.is_suspended(now)
     assert not later.is_loading("m", now)
-    assert later.others_load(now) == 0
+    assert later.other_hosts_load(now) == 0
     assert before.has_ended
     assert not before.takes_work
 
@@ -76,7 +76,7 @@
     directory.remove("e", hand_clock.monotonic() + 2.0)
     directory.put(entry(born=5))
     hand_clock.advance(3.0)
-    directory.remove_overdue()
+    directory.remove_expired()
     assert directory.get("e") is None
 
 
--- a/tests/fleet/test_tracked.py
+++ b/tests/fleet/test_tracked.py
@@ -48,5 +48,5 @@
     with tracked.end_callback(ended):
         with tracked.end_callback(ended):
             pass
-        tracked.end()
+        tracked.mark_ended()
     assert calls == ["ended"]
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -30,10 +30,10 @@
     def __init__(self):
         self.abandoned = []
 
-    def verdict(self, content):
+    def decision(self, content):
         return FREE
 
-    def tell(self, content):
+    def share_strikes(self, content):
         pass
 
     def note_abandoned(self, send):
