--- a/src/bankrudder/relay/_outcomes.py
+++ b/src/bankrudder/relay/_outcomes.py
@@ -1,8 +1,8 @@
-"""What becomes of a send, for later choices, for log lines, and for refusals."""
+"""Handling of attempt outcomes: endpoint statistics, log texts and crash refusals."""
 
 import structlog
 
-from bankrudder.crashes import Admission, Verdict
+from bankrudder.crashes import Admission, AdmissionDecision
 from bankrudder.fleet import (
     Answered,
     LossReason,
@@ -17,37 +17,38 @@
 _log = structlog.get_logger("relay")
 
 
-def refusal_of(verdict: Verdict) -> NotRun | None:
-    """Return the reply to a request that may not be sent, None if it may."""
-    if verdict.admission is not Admission.REFUSED:
+def crash_refusal(decision: AdmissionDecision) -> NotRun | None:
+    """Return the reply to a request that is refused for crashes, None if it is not."""
+    if decision.admission is not Admission.REFUSED:
         return None
-    return NotRun(RejectReason.CRASHES_ENDPOINTS, verdict.retry_after_s)
+    return NotRun(RejectReason.CRASHES_ENDPOINTS, decision.retry_after_s)
 
 
 def note_outcome(
-    target: TrackedEndpoint, outcome: SendOutcome, began: float, now: float
+    target: TrackedEndpoint, outcome: SendOutcome, sent_at: float, now: float
 ) -> None:
-    """Let what became of a send count in the later choices of its endpoint."""
+    """Record the outcome of an attempt in the statistics of its endpoint."""
     match outcome:
         case Answered():
             if outcome.load is not None:
                 target.note_load(outcome.load, now)
-            target.note_answer(now - began)
-            target.note_connection(outcome.kept_s, now)
+            target.note_answer(now - sent_at)
+            target.note_connection(outcome.keep_alive_s, now)
         case Refused(reason=RefusalReason.FULL):
             if outcome.load is not None:
                 target.note_load(outcome.load, now)
         case Refused(reason=RefusalReason.REJECTED):
             pass
         case Lost(reason=LossReason.ENDPOINT_RESTARTED):
-            pass  # its later run did not fail
+            pass  # The endpoint's new run did not fail.
         case _:
-            was_left_out = target.is_suspended(now)
+            was_suspended = target.is_suspended(now)
             seconds = target.note_failure(now)
-            if was_left_out:
-                return  # a line for each send there hides the lines that matter
+            if was_suspended:
+                # One line per suspension; a line per attempt would hide other lines.
+                return
             _log.info(
-                "relay: endpoint left out",
+                "relay: endpoint suspended",
                 endpoint=target.endpoint.id,
                 outcome=describe(outcome),
                 seconds=seconds,
@@ -55,7 +56,7 @@
 
 
 def describe(outcome: SendOutcome) -> str:
-    """Return what became of a send, for a log line."""
+    """Return the outcome of an attempt as a text for log lines and spans."""
     match outcome:
         case Answered(status=status):
             return f"status {status}"
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -1,4 +1,4 @@
-"""What is left of a stream whose caller leaves before it begins."""
+"""A streaming request whose caller disconnects before the stream begins."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -12,7 +12,7 @@
 
 
 class SilentEndpoints:
-    """Endpoints whose streams never begin."""
+    """An endpoint client whose streams never begin."""
 
     def __init__(self):
         self.opened = asyncio.Event()
@@ -24,20 +24,20 @@
         yield
 
 
-class Unconcerned:
-    """Stands in for the guard: no endpoint ever ends."""
+class FakeCrashGuard:
+    """A crash guard that refuses nothing and records abandoned attempts."""
 
     def __init__(self):
-        self.left = []
+        self.abandoned = []
 
-    def verdict(self, content):
+    def decision(self, content):
         return FREE
 
-    def tell(self, content):
+    def share_strikes(self, content):
         pass
 
-    def note_left(self, send):
-        self.left.append(send.target.endpoint.id)
+    def note_abandoned(self, send):
+        self.abandoned.append(send.target.endpoint.id)
 
 
 @pytest.fixture
@@ -47,8 +47,8 @@
     return directory
 
 
-async def test_its_place_at_the_endpoint_is_free_again(directory, hand_clock):
-    endpoints, guard = SilentEndpoints(), Unconcerned()
+async def test_cancelled_request_releases_its_slot(directory, hand_clock):
+    endpoints, guard = SilentEndpoints(), FakeCrashGuard()
     streams = StreamForwarder(directory, endpoints, guard, hand_clock)
     route = Route(
         "r", "h", "/", RouteKind.STREAM, (WeightedService("s", 1.0),), 5.0, 0.4
@@ -61,4 +61,4 @@
     with pytest.raises(asyncio.CancelledError):
         await asked
     assert directory.get("e").in_flight == 0
-    assert guard.left == ["e"]
+    assert guard.abandoned == ["e"]
