--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -178,24 +178,24 @@
             if known is None or known[0] != version:
                 known = (version, now)
                 self._named_since[model] = known
-            named_for = timedelta(seconds=now - known[1])
+            newest_age = timedelta(seconds=now - known[1])
             demands[model] = ModelDemand(
-                version, self._open_batches.needed_version(model), named_for
+                version, self._open_batches.needed_version(model), newest_age
             )
         return demands
 
     def _assign(self, service: ServiceName, engines: Sequence[TrackedEndpoint]) -> None:
         models = {state.model for each in engines for state in each.endpoint.models}
         shares = {model: self._open_batches.work_of(model) for model in models}
-        before = self._assigned.get(service)
-        if before is None:
+        previous = self._assigned.get(service)
+        if previous is None:
             versions = {each.endpoint.id: each.versions for each in engines}
-            before = followed_models(versions, self._named)
+            previous = followed_models(versions, self._named)
         most = self._most_engines(models, engines)
         names = [each.endpoint.id for each in engines]
         gaps = self._usual_gaps()
-        lasting = self._open_batches.open_seconds()
-        after = assign_engines(names, shares, before, most, gaps, lasting)
+        open_times = self._open_batches.open_seconds()
+        after = assign_engines(names, shares, previous, most, gaps, open_times)
         if after != self._assigned.get(service):
             self._assigned[service] = after
             _log.info(
@@ -204,7 +204,7 @@
                 engines=after,
                 work={model: round(work) for model, work in shares.items()},
                 gaps={key: round(gaps[key], 4) for key in names if key in gaps},
-                open_seconds={key: round(each, 2) for key, each in lasting.items()},
+                open_seconds={key: round(each, 2) for key, each in open_times.items()},
             )
 
     def _most_engines(
--- a/src/bankrudder/scheduling/__init__.py
+++ b/src/bankrudder/scheduling/__init__.py
@@ -1,7 +1,8 @@
-"""The policies by which work and weights are given out: values in, decision out.
+"""Scheduling policies for samples, engines and model weights, as pure functions.
 
-Each module names the load that it answers and what it buys. None of them does I/O; the
-parts that carry the decisions out stand beside it.
+Each module's docstring names the load pattern that its policy is made for, and the
+measured benefit where there is one. The policies do no I/O; the packages that call
+them carry out their decisions.
 """
 
 from bankrudder.scheduling._assignment import assign_engines, followed_models
@@ -19,8 +20,8 @@
 )
 from bankrudder.scheduling._ranking import Rank, TokenPace, sample_ranks
 from bankrudder.scheduling._supply import (
-    HeldNeed,
-    PlacePrice,
+    EngineOffer,
+    PeakNeed,
     engines_needed,
     spread_engines,
 )
@@ -29,9 +30,9 @@
     "ChosenLoad",
     "EngineLoad",
     "EngineView",
-    "HeldNeed",
+    "PeakNeed",
     "ModelDemand",
-    "PlacePrice",
+    "EngineOffer",
     "PlacementOrder",
     "Rank",
     "TokenPace",
--- a/src/bankrudder/scheduling/_assignment.py
+++ b/src/bankrudder/scheduling/_assignment.py
@@ -1,20 +1,22 @@
-"""Which engine serves which model, where several are trained on the same engines.
-
-Each load of weights stops an engine for about a second and costs. So an engine
-follows the versions of one model, and models get engines by their share of the work, no
-more than their samples can use.
-
-Who begins to give orders, after a restart of all hosts or when the host before was
-lost, knows no assignment. The versions that engines have tell which model each
-followed; drawn anew, half of them would change it, and load weights while steps wait.
-
-A step lasts as long as its longest sample, and that one as long as its engine is slow:
-on engines that make events a third slower than others, ten seconds where seven count.
-Trainers differ in what this costs them: one that waits for all groups waits for its
-longest sample in nearly each step and falls behind for the rest of the day, while
-another one ends most of its steps in half of their time. So the quick engines go to the
-models whose batches last longest, seen by how long the latest ones were open; before
-that is known each model gets its share of them, and none only slow ones.
+"""Assignment of engines to models, where several models share the same engines.
+
+Each load of weights stops an engine for about a second and has a price. So an engine
+follows the versions of one model only, and each model gets engines in proportion to its
+share of the work, but no more than its samples can use.
+
+A host that starts to order loads, after a restart of all hosts or after the loss of the
+previous host, knows no assignment. It infers from the versions on the engines which
+model each engine followed. A new assignment would change the model of half of the
+engines, which would then load weights while steps wait.
+
+A step takes as long as its longest sample, which depends on the speed of its engine: on
+engines that emit events a third slower than others, a step takes ten seconds where only
+seven are of value. The cost differs between trainers. A trainer that waits for all
+groups waits for its longest sample in nearly every step and falls behind for the rest
+of the day, while another one finishes most of its steps in half of their time. So the
+fast engines go to the models whose latest batches were open longest. Until these times
+are known, each model gets its share of the fast engines, and no model has only slow
+ones.
 """
 
 from collections import Counter
@@ -24,102 +26,102 @@
 from bankrudder.routing import ModelName
 from bankrudder.world import ModelVersion
 
-MIN_GAIN = 0.75
-"""An engine changes its model only if the model it goes to lacks at least this many
-engines: a change costs a load, and shares vary a little from batch to batch."""
+MIN_ENGINE_DEFICIT = 0.75
+"""An engine changes its model only if the new model lacks at least this many engines: a
+change costs a load, and shares vary slightly from batch to batch."""
 
+FAST_GAP_RATIO = 1.15
+SLOW_GAP_RATIO = 1.2
+"""An engine is fast if its time between events is at most the first ratio times the
+shortest one, and slow from the second ratio on. The load of an engine changes its time
+between events by less than that. Engines between the ratios are not exchanged."""
 
-QUICK_FACTOR = 1.15
-SLOW_FACTOR = 1.2
-"""An engine is quick if it takes at most so many times as long from event to event as
-the quickest one, and slow from the second figure on. The load of an engine makes less
-of a difference; what lies between changes no assignment."""
+MIN_OPEN_TIME_RATIO = 1.3
+"""Batches of one model must stay open this many times as long as those of another model
+before they exchange a slow engine for a fast one. The exchange itself changes the ratio
+by as much, so a smaller threshold would undo it."""
 
-PRESSED_FACTOR = 1.3
-"""Batches of one model must last so many times as long as those of another one before a
-quick engine is exchanged for a slow one: what the exchange itself makes of it, so that
-it is not undone."""
+MIN_FAST_SHARE = 0.5
+"""Engines are exchanged if a model has less than this share of the fast engines that it
+would have in an even distribution, for example none instead of one. Each exchange costs
+two loads."""
 
-LEAST_QUICK_SHARE = 0.5
-"""Engines are exchanged if a model has less than this share of the quick ones that are
-its due: none where it should have one. Each exchange costs two loads."""
-
-USELESS_FACTOR = 1.25
-"""How many times as many engines as a model can use it keeps: the number of samples
-varies a little from batch to batch."""
+MAX_EXCESS_FACTOR = 1.25
+"""A model keeps up to this many times the engines that it can use: the number of
+samples varies slightly from batch to batch."""
 
 
 def assign_engines(
     engines: Sequence[EndpointId],
     shares: Mapping[ModelName, float],
-    before: Mapping[EndpointId, ModelName],
-    most: Mapping[ModelName, int] | None = None,
-    gaps: Mapping[EndpointId, float] | None = None,
-    lasting: Mapping[ModelName, float] | None = None,
+    previous: Mapping[EndpointId, ModelName],
+    max_engines: Mapping[ModelName, int] | None = None,
+    event_gaps: Mapping[EndpointId, float] | None = None,
+    open_times: Mapping[ModelName, float] | None = None,
 ) -> dict[EndpointId, ModelName]:
-    """Return the model of each engine; one that no model can use is left out.
+    """Return the model of each engine, without the engines that no model can use.
 
     Parameters
     ----------
     engines : sequence of EndpointId
         Engines that serve all of the models.
     shares : mapping
-        Work of each model, in any unit; equal if all are zero.
-    before : mapping
-        The last assignment; engines keep their model where they can.
-    most : mapping, optional
-        Most engines that a model can use; a model that is not in it can use all.
-    gaps : mapping, optional
-        Usual time from event to event on each engine, in any unit; engines that are
-        not in it stay where they are.
-    lasting : mapping, optional
-        For how long the latest batches of a model were open, in any unit; models of
-        which none was ended are left out.
+        Work of each model, in any unit. If all are zero, models get equal shares.
+    previous : mapping
+        The previous assignment. Engines keep their model where possible.
+    max_engines : mapping, optional
+        Most engines that a model can use. A model without an entry can use all.
+    event_gaps : mapping, optional
+        Usual time between events on each engine, in any unit. Engines without an entry
+        are not exchanged.
+    open_times : mapping, optional
+        How long the latest batches of each model were open, in any unit. Models
+        without a finished batch have no entry.
     """
     if not shares:
         return {}
-    bounds = most or {}
-    wanted = {
+    bounds = max_engines or {}
+    target_counts = {
         model: min(count, bounds.get(model, len(engines)))
-        for model, count in _wanted(len(engines), shares).items()
+        for model, count in _target_counts(len(engines), shares).items()
     }
-    assigned = {key: before[key] for key in engines if before.get(key) in shares}
-    _release_useless(bounds, assigned)
+    assigned = {key: previous[key] for key in engines if previous.get(key) in shares}
+    _release_excess(bounds, assigned)
     for engine in engines:
-        neediest = _neediest(wanted, assigned)
-        if engine not in assigned and _lack(neediest, wanted, assigned) > 0:
-            assigned[engine] = neediest
-    _move_surplus(wanted, assigned)
-    _share_quick(gaps or {}, lasting or {}, assigned)
+        recipient = _model_lacking_most(target_counts, assigned)
+        if engine not in assigned and _deficit(recipient, target_counts, assigned) > 0:
+            assigned[engine] = recipient
+    _move_surplus(target_counts, assigned)
+    _balance_fast_engines(event_gaps or {}, open_times or {}, assigned)
     return assigned
 
 
 def followed_models(
     versions: Mapping[EndpointId, Mapping[ModelName, ModelVersion]],
-    named: Mapping[ModelName, ModelVersion],
+    newest_versions: Mapping[ModelName, ModelVersion],
 ) -> dict[EndpointId, ModelName]:
-    """Return which model each engine followed, as far as its versions tell.
+    """Infer which model each engine followed from the versions that it has.
 
-    An engine followed the model whose newest version it lags behind the least, of those
-    that were loaded there: of the others all engines have the version that they
-    started with.
+    An engine followed the model whose newest version it is closest to, among the models
+    of which it has loaded a version. Of all other models it still has the version that
+    engines start with. Engines that give no clear answer are left out.
 
     Parameters
     ----------
     versions : mapping
         Version of each model that an engine serves.
-    named : mapping
+    newest_versions : mapping
         Newest version that was named, by model.
     """
     oldest = {
         model: min(own[model] for own in versions.values() if model in own)
-        for model in named
+        for model in newest_versions
         if any(model in own for own in versions.values())
     }
     followed = {}
     for engine, own in versions.items():
         lags = sorted(
-            (named[model] - version, model)
+            (newest_versions[model] - version, model)
             for model, version in own.items()
             if model in oldest and version > oldest[model]
         )
@@ -128,19 +130,24 @@
     return followed
 
 
-def _release_useless(
-    most: Mapping[ModelName, int], assigned: dict[EndpointId, ModelName]
+def _release_excess(
+    max_engines: Mapping[ModelName, int], assigned: dict[EndpointId, ModelName]
 ) -> None:
-    """Leave out engines of models that have far more than they can use."""
-    for model, bound in most.items():
+    """Remove engines from models that have far more than they can use."""
+    for model, bound in max_engines.items():
         engines = sorted(key for key, each in assigned.items() if each == model)
-        if len(engines) > USELESS_FACTOR * bound:
+        if len(engines) > MAX_EXCESS_FACTOR * bound:
             for engine in engines[bound:]:
                 del assigned[engine]
 
 
-def _wanted(count: int, shares: Mapping[ModelName, float]) -> dict[ModelName, float]:
-    """Return how many engines each model should have, one at least if there are."""
+def _target_counts(
+    count: int, shares: Mapping[ModelName, float]
+) -> dict[ModelName, float]:
+    """Return how many engines each model should have, at least one if there are enough.
+
+    The counts are fractions, as they follow the shares of work.
+    """
     total = sum(shares.values())
     if total <= 0:
         return dict.fromkeys(shares, count / len(shares))
@@ -149,18 +156,21 @@
     return {model: least + rest * work / total for model, work in shares.items()}
 
 
-def _neediest(
-    wanted: Mapping[ModelName, float], assigned: Mapping[EndpointId, ModelName]
+def _model_lacking_most(
+    target_counts: Mapping[ModelName, float], assigned: Mapping[EndpointId, ModelName]
 ) -> ModelName:
-    return max(sorted(wanted), key=lambda model: _lack(model, wanted, assigned))
+    return max(
+        sorted(target_counts),
+        key=lambda model: _deficit(model, target_counts, assigned),
+    )
 
 
-def _lack(
+def _deficit(
     model: ModelName,
-    wanted: Mapping[ModelName, float],
+    target_counts: Mapping[ModelName, float],
     assigned: Mapping[EndpointId, ModelName],
 ) -> float:
-    return wanted[model] - _count(model, assigned.values())
+    return target_counts[model] - _count(model, assigned.values())
 
 
 def _count(model: ModelName, models: Collection[ModelName]) -> int:
@@ -168,89 +178,111 @@
 
 
 def _move_surplus(
-    wanted: Mapping[ModelName, float], assigned: dict[EndpointId, ModelName]
+    target_counts: Mapping[ModelName, float], assigned: dict[EndpointId, ModelName]
 ) -> None:
-    """Move engines to models that lack them, until none lacks enough."""
+    """Move engines to models that lack them until no deficit justifies a load."""
     for _ in range(len(assigned)):
-        neediest = _neediest(wanted, assigned)
-        richest = min(sorted(wanted), key=lambda model: _lack(model, wanted, assigned))
-        is_without = _count(neediest, assigned.values()) == 0
-        if _lack(neediest, wanted, assigned) < MIN_GAIN and not is_without:
+        recipient = _model_lacking_most(target_counts, assigned)
+        donor = min(
+            sorted(target_counts),
+            key=lambda model: _deficit(model, target_counts, assigned),
+        )
+        has_no_engine = _count(recipient, assigned.values()) == 0
+        if (
+            _deficit(recipient, target_counts, assigned) < MIN_ENGINE_DEFICIT
+            and not has_no_engine
+        ):
             return
-        if _count(richest, assigned.values()) < 2 or richest == neediest:
+        if _count(donor, assigned.values()) < 2 or donor == recipient:
             return
-        moved = min(key for key, model in assigned.items() if model == richest)
-        assigned[moved] = neediest
+        moved = min(key for key, model in assigned.items() if model == donor)
+        assigned[moved] = recipient
 
 
-def _share_quick(
-    gaps: Mapping[EndpointId, float],
-    lasting: Mapping[ModelName, float],
+def _balance_fast_engines(
+    event_gaps: Mapping[EndpointId, float],
+    open_times: Mapping[ModelName, float],
     assigned: dict[EndpointId, ModelName],
 ) -> None:
-    """Exchange slow and quick engines between models where that is due."""
-    known = {engine: gap for engine, gap in gaps.items() if engine in assigned}
+    """Exchange slow and fast engines between models where the policy asks for it."""
+    known = {engine: gap for engine, gap in event_gaps.items() if engine in assigned}
     if not known:
         return
-    quickest = min(known.values())
-    quick = {key for key, gap in known.items() if gap <= QUICK_FACTOR * quickest}
-    slow = {key for key, gap in known.items() if gap >= SLOW_FACTOR * quickest}
+    shortest_gap = min(known.values())
+    fast = {key for key, gap in known.items() if gap <= FAST_GAP_RATIO * shortest_gap}
+    slow = {key for key, gap in known.items() if gap >= SLOW_GAP_RATIO * shortest_gap}
     models = set(assigned.values())
     for _ in range(len(assigned)):
-        if all(lasting.get(model, 0.0) > 0 for model in models):
-            pair = _most_pressed(quick, slow, lasting, assigned)
+        if all(open_times.get(model, 0.0) > 0 for model in models):
+            pair = _exchange_by_open_time(fast, slow, open_times, assigned)
         else:
-            pair = _poorest(quick, slow, assigned)
+            pair = _exchange_by_fast_share(fast, slow, assigned)
         if pair is None:
             return
-        given, taken = pair
-        assigned[given], assigned[taken] = assigned[taken], assigned[given]
+        offered, returned = pair
+        assigned[offered], assigned[returned] = assigned[returned], assigned[offered]
 
 
-def _most_pressed(
-    quick: Collection[EndpointId],
+def _exchange_by_open_time(
+    fast: Collection[EndpointId],
     slow: Collection[EndpointId],
-    lasting: Mapping[ModelName, float],
+    open_times: Mapping[ModelName, float],
     assigned: Mapping[EndpointId, ModelName],
 ) -> tuple[EndpointId, EndpointId] | None:
-    """Return a quick engine of a model that can spare it, and a slow one for it."""
+    """Return a fast engine and a slow one to exchange for it, None if there are none.
+
+    The fast engine belongs to the model with the shortest open times, the slow one to
+    the model with the longest.
+    """
 
     def order(engine: EndpointId) -> tuple[float, ModelName, EndpointId]:
         model = assigned[engine]
-        return lasting[model], model, engine
+        return open_times[model], model, engine
 
-    given = min(quick, key=order, default=None)
-    taken = max(slow, key=order, default=None)
-    if given is None or taken is None:
+    offered = min(fast, key=order, default=None)
+    returned = max(slow, key=order, default=None)
+    if offered is None or returned is None:
         return None
-    if lasting[assigned[taken]] < PRESSED_FACTOR * lasting[assigned[given]]:
+    if (
+        open_times[assigned[returned]]
+        < MIN_OPEN_TIME_RATIO * open_times[assigned[offered]]
+    ):
         return None
-    return given, taken
+    return offered, returned
 
 
-def _poorest(
-    quick: Collection[EndpointId],
+def _exchange_by_fast_share(
+    fast: Collection[EndpointId],
     slow: Collection[EndpointId],
     assigned: Mapping[EndpointId, ModelName],
 ) -> tuple[EndpointId, EndpointId] | None:
-    """Return engines to exchange for a model with far less than its share of quick."""
-    served = _shares_of_quick(quick, assigned)
-    poorest = min(sorted(served), key=lambda model: served[model])
-    richest = max(sorted(served), key=lambda model: served[model])
-    given = [key for key in sorted(quick) if assigned[key] == richest]
-    taken = [key for key in sorted(slow) if assigned[key] == poorest]
-    if served[poorest] >= LEAST_QUICK_SHARE or len(given) < 2 or not taken:
+    """Return a fast engine and a slow one to exchange for it, None if there are none.
+
+    The slow engine belongs to the model that has the least of its share of the fast
+    engines, the fast one to the model that has the most.
+    """
+    fast_shares = _relative_fast_shares(fast, assigned)
+    recipient_model = min(sorted(fast_shares), key=lambda model: fast_shares[model])
+    donor = max(sorted(fast_shares), key=lambda model: fast_shares[model])
+    offered = [key for key in sorted(fast) if assigned[key] == donor]
+    returned = [key for key in sorted(slow) if assigned[key] == recipient_model]
+    if (
+        fast_shares[recipient_model] >= MIN_FAST_SHARE
+        or len(offered) < 2
+        or not returned
+    ):
         return None
-    return given[0], taken[0]
+    return offered[0], returned[0]
 
 
-def _shares_of_quick(
-    quick: Collection[EndpointId], assigned: Mapping[EndpointId, ModelName]
+def _relative_fast_shares(
+    fast: Collection[EndpointId], assigned: Mapping[EndpointId, ModelName]
 ) -> dict[ModelName, float]:
-    """Return what each model has of the quick engines that would be its due."""
+    """Return each model's fast engines relative to an even distribution."""
     counts = Counter(assigned.values())
-    quick_counts = Counter(assigned[engine] for engine in quick)
-    due = len(quick) / len(assigned)
+    fast_counts = Counter(assigned[engine] for engine in fast)
+    fair_share = len(fast) / len(assigned)
     return {
-        model: quick_counts[model] / (due * count) for model, count in counts.items()
+        model: fast_counts[model] / (fair_share * count)
+        for model, count in counts.items()
     }
--- a/src/bankrudder/scheduling/_placement.py
+++ b/src/bankrudder/scheduling/_placement.py
@@ -1,50 +1,55 @@
-"""Which of the engines with a free slot a waiting sample goes to.
+"""Choice of the engine for a waiting sample, among the engines with a free slot.
 
-Pattern: a step asks for a hundred samples at once, the engines are several times as
-many as they fill, and hardly slower with seven samples than with one. A host that gives
-each sample to the emptiest engine spreads its steps over all of them and opens a
-connection for nearly every run; each costs a round trip, a slot of the engine for a
-moment, and a place among those that it accepts from all hosts.
+Load pattern: a step asks for a hundred samples at once. There are several times as many
+engines as these samples fill, and an engine is hardly slower with seven samples than
+with one. A host that sends each sample to the emptiest engine spreads its steps over
+all engines and opens a connection for nearly every sample. Each connection costs a
+round trip, briefly a slot of the engine, and one of the connections that the engine
+accepts from all hosts.
 
-Answer: a quicker engine goes first, and among those about as quick one to which
-a connection is open and idle here, until it is fuller by half than the others.
+Policy: faster engines go first. Among engines of about the same speed, one with an idle
+connection from this host goes first until the samples of this host fill half more of
+its slots than of the others.
 """
 
 import msgspec
 
-SAME_GROUP_FACTOR = 1.2
-"""How much slower an engine may be and still be taken because it has read the
-group's prompt."""
+CACHED_PROMPT_FACTOR = 1.2
+"""How many times slower an engine may be and still be preferred because it has already
+processed the group's prompt."""
 
-SPEED_STEPS = 10
-"""Steps of the time from event to event within which engines count as equally quick:
-a tenth of the usual time, as the load of an engine makes less of a difference."""
+PACE_STEPS = 10
+"""Steps into which the usual time between events is divided. Engines within the same
+step count as equally fast: the load of an engine makes less of a difference than a
+tenth of the usual time."""
 
-FULL_COST = 3.0
-"""Steps of speed by which a full engine is rated behind an empty one."""
+FULL_ENGINE_COST = 3.0
+"""Pace steps by which a full engine is rated behind an empty one."""
 
-NEW_CONNECTION_COST = FULL_COST / 2
-"""Steps of speed by which an engine is rated behind those to which a connection is idle
-here: as one half of whose slots are taken, as for requests to plain services."""
+NEW_CONNECTION_COST = FULL_ENGINE_COST / 2
+"""Pace steps by which an engine without an idle connection from this host is rated
+behind one that has it: as much as for half of its slots being taken. Requests to plain
+services use the same rule."""
 
 
 class EngineView(msgspec.Struct, frozen=True):
-    """What a host knows of an engine that has a slot for a sample.
+    """What a host knows of an engine that has a free slot for a sample.
 
     Attributes
     ----------
     pace : float
-        Its time from event to event, as a multiple of the usual one.
+        Time between events on the engine, as a multiple of the usual time.
     occupied : float
-        Share of its slots that samples of this host take, from 0 to 1.
+        Share of the engine's slots that samples of this host take, from 0 to 1.
     is_home : bool
-        Whether it has read the prompt of the sample's group.
+        Whether the engine has already processed the prompt of the sample's group.
     is_connected : bool
-        Whether a connection to it is open and idle here.
+        Whether this host has an open, idle connection to the engine.
     is_trusted : bool
-        Whether it has shown signs of life since it last failed.
+        Whether the engine has responded since it last failed.
     has_suspects : bool
-        Whether it runs a sample under which engines ended; it may be the next.
+        Whether the engine runs a sample that was running on engines when they crashed,
+        and so may crash as well.
     """
 
     pace: float
@@ -59,9 +64,9 @@
 
 
 def placement_order(engine: EngineView) -> PlacementOrder:
-    """Return the sort key of an engine: the one with the least goes first."""
-    pace = engine.pace / SAME_GROUP_FACTOR if engine.is_home else engine.pace
-    rating = round(SPEED_STEPS * pace) + FULL_COST * engine.occupied
+    """Return the sort key of an engine: the engine with the smallest key goes first."""
+    pace = engine.pace / CACHED_PROMPT_FACTOR if engine.is_home else engine.pace
+    rating = round(PACE_STEPS * pace) + FULL_ENGINE_COST * engine.occupied
     if not engine.is_connected:
         rating += NEW_CONNECTION_COST
     return (not engine.is_trusted, engine.has_suspects, rating, engine.occupied)
--- a/src/bankrudder/scheduling/_ranking.py
+++ b/src/bankrudder/scheduling/_ranking.py
@@ -1,16 +1,18 @@
-"""The order in which the samples of all batches on a host get slots.
-
-A step ends when enough groups are whole, and a long sample that starts late ends last.
-So the longest groups start first, but for those that the trainer does not wait for:
-they come last. In a batch with groups that were carried over, which the trainer waits
-for however long they take, all groups have that time, and none is put off.
-
-Pattern: a trainer that fell behind asks for two steps within a second, while half of
-its slots are lost to a load. If the older batch goes first as a whole, its short
-samples, which have seconds to spare, take the slots from the longest samples of the
-newer one, and that step ends later by as much. So what counts is when a group has to
-begin: its batch's begin less the time that its longest sample should take, reckoned
-from what hinted tokens took lately.
+"""Order in which the samples of all batches on a host get slots.
+
+A step ends when enough groups are complete, and a long sample that starts late ends
+last. So the longest groups start first, except the groups beyond the number that the
+trainer waits for, which come last. In a batch with groups that were carried over from
+an earlier batch, the trainer waits for these however long they take. The other groups
+have as much time, so none of them is put last.
+
+Load pattern: a trainer that fell behind asks for two steps within a second, while half
+of its slots are lost to a load. If the whole older batch went first, its short samples,
+which have seconds to spare, would take the slots from the longest samples of the newer
+batch and delay that step by as much. So samples are ordered by the time by which their
+group has to start: the start of the batch less the estimated duration of the group's
+longest sample. The estimate is the sample's length hint times the recent mean time of
+a hinted token.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -23,34 +25,35 @@
 """Lower ranks go first."""
 
 CARRIED, AWAITED, SURPLUS = 0.0, 1.0, 2.0
-"""Groups that were begun in an earlier batch, that make the step whole, and beyond."""
+"""Classes of groups: started in an earlier batch, needed to complete the step, and
+beyond the number that the trainer waits for."""
 
 PACE_WEIGHT = 0.02
-"""Weight of the newest sample in the mean time of a hinted token: a few dozen samples,
-one step's, as hints are far off one by one."""
+"""Weight of the newest sample in the mean time of a hinted token. The mean covers the
+few dozen samples of one step, as single hints are often far off."""
 
 
 class RankedSample(Protocol):
-    """What the order needs to know of a sample."""
+    """The attributes of a sample that decide its rank."""
 
     @property
     def id(self) -> SampleId:
-        """Name of the sample."""
+        """Identifier of the sample."""
         ...
 
     @property
     def group(self) -> GroupId:
-        """Group that is whole when each of its samples is."""
+        """Group of the sample, complete once each of its samples is."""
         ...
 
     @property
     def length_hint(self) -> int:
-        """Estimate of the tokens that will be generated, often far off; 0 if none."""
+        """Estimated number of generated tokens, often far off; 0 without estimate."""
         ...
 
 
 class TokenPace:
-    """How long a token takes that a sample's length hint promises."""
+    """Recent mean time that engines took for each token of a sample's length hint."""
 
     def __init__(self) -> None:
         self._seconds = 0.0
@@ -58,15 +61,15 @@
 
     @property
     def seconds(self) -> float:
-        """Mean seconds of a hinted token, 0 before the first sample."""
+        """Mean seconds for each hinted token, 0 before the first sample."""
         return self._seconds / self._tokens if self._tokens else 0.0
 
-    def note(self, hinted_tokens: int, took: timedelta) -> None:
-        """Note how long a whole sample took on engines, without its waits."""
+    def note(self, hinted_tokens: int, duration: timedelta) -> None:
+        """Add the time that a complete sample took on engines, without its waits."""
         if not hinted_tokens:
             return
         weight = PACE_WEIGHT if self._tokens else 1.0
-        self._seconds += weight * (took.total_seconds() - self._seconds)
+        self._seconds += weight * (duration.total_seconds() - self._seconds)
         self._tokens += weight * (hinted_tokens - self._tokens)
 
 
@@ -74,7 +77,7 @@
     samples: Sequence[RankedSample],
     target_groups: int,
     carried_samples: Collection[SampleId],
-    begun_at: float,
+    started_at: float,
     token_s: float = 0.0,
 ) -> dict[SampleId, Rank]:
     """Return the ranks of a batch's samples.
@@ -82,25 +85,25 @@
     Parameters
     ----------
     target_groups : int
-        Groups that the trainer waits for; 0 if all.
+        Number of groups that the trainer waits for; 0 for all.
     carried_samples : collection of SampleId
-        Samples that were in an earlier batch, or begun by an earlier owner.
-    begun_at : float
-        Steady time in seconds at which this host began with the batch.
+        Samples that were in an earlier batch, or were started by an earlier owner.
+    started_at : float
+        Monotonic time in seconds at which this host started the batch.
     token_s : float
-        Seconds that a hinted token takes; 0 if it is not known, and then the older
-        batch goes first.
+        Seconds for each hinted token; 0 if unknown, in which case the older batch goes
+        first.
     """
     lengths = _group_lengths(samples)
     carried = {sample.group for sample in samples if sample.id in carried_samples}
     surplus = _surplus(lengths, target_groups, carried)
-    places = {group: float(place) for place, group in enumerate(lengths)}
+    positions = {group: float(position) for position, group in enumerate(lengths)}
     return {
         sample.id: (
-            _kind(sample.group, carried, surplus),
-            begun_at - token_s * lengths[sample.group],
+            _group_class(sample.group, carried, surplus),
+            started_at - token_s * lengths[sample.group],
             -lengths[sample.group],
-            places[sample.group],
+            positions[sample.group],
             -float(sample.length_hint),
         )
         for sample in samples
@@ -108,7 +111,7 @@
 
 
 def _group_lengths(samples: Sequence[RankedSample]) -> dict[GroupId, float]:
-    """Return the estimated length of each group's longest sample, in tokens."""
+    """Return the estimated token count of each group's longest sample."""
     lengths: dict[GroupId, float] = {}
     for sample in samples:
         hint = float(sample.length_hint)
@@ -121,14 +124,14 @@
     target_groups: int,
     carried: Collection[GroupId],
 ) -> set[GroupId]:
-    """Return the longest groups beyond those that the trainer waits for."""
+    """Return the longest groups, beyond the number that the trainer waits for."""
     count = len(lengths) - target_groups
     if carried or target_groups <= 0 or count <= 0:
         return set()
     return set(sorted(lengths, key=lambda group: lengths[group])[-count:])
 
 
-def _kind(
+def _group_class(
     group: GroupId,
     carried: Collection[GroupId],
     surplus: Collection[GroupId],
--- a/src/bankrudder/scheduling/_supply.py
+++ b/src/bankrudder/scheduling/_supply.py
@@ -1,15 +1,15 @@
-"""How many engines a service needs, and in which data centres.
-
-Load: several trainers ask for a step each at the same moment, and for the next one
-while the last samples of the one before are still generated. With fewer places than
-samples the samples of one trainer wait for those of another one, a step ends after its
-time, and its trainer falls further behind with each step. So as many engines are
-ordered as the samples of the latest steps fill.
-
-Where that doubled the engines, 0.935 of the worth of days with trouble was served, and
-0.907 without it (five days, same seeds; standard error of the difference 0.010). It
-costs 0.030 of that worth: half for the weights that more engines load, a fifth for the
-engines, as much for connections.
+"""Number of engines that a service needs, and their distribution over data centres.
+
+Load pattern: several trainers ask for a step each at the same moment, and for the next
+step while the last samples of the previous one are still generated. With fewer slots
+than samples, the samples of one trainer wait for those of another, steps end too late,
+and their trainers fall further behind with each step. So as many engines are ordered as
+the samples of the latest steps fill.
+
+In simulations where this doubled the engines, 0.935 of the value was served on days
+with faults, and 0.907 without it (five days, same seeds; standard error of the
+difference 0.010). It costs 0.030 of that value: half for the weights that more engines
+load, a fifth for the engines, and a fifth for connections.
 """
 
 import math
@@ -22,21 +22,22 @@
 from bankrudder.world import DataCentreName
 
 SPARE_ENGINES = 2
-"""Engines beyond those that the samples fill: one may be lost, one loads weights."""
+"""Engines beyond those that the samples fill: one may be lost and one may be loading
+weights."""
 
-HOLD = timedelta(seconds=60)
-"""Time for which the largest need counts. An engine that was given up and is needed
-again costs the time of its start, a load, and all prompts that it had read: shrinking
-between two steps, or while a trainer is late, would pay that over and over."""
+PEAK_PERIOD = timedelta(seconds=60)
+"""Period over which the largest need counts. An engine that was released and is needed
+again costs its start-up time, a load, and the processing of all cached prompts. Scaling
+down between two steps, or while a trainer is late, would incur that cost repeatedly."""
 
 
-class PlacePrice(msgspec.Struct, frozen=True):
-    """Bounds and price of engines in one data centre.
+class EngineOffer(msgspec.Struct, frozen=True):
+    """Bounds on the number of engines in one data centre, and their price.
 
     Attributes
     ----------
     price : float
-        Of one engine for a second, in any unit.
+        Price of one engine for a second, in any unit.
     """
 
     least: int
@@ -45,14 +46,14 @@
 
 
 def engines_needed(samples: Mapping[ModelName, int], slots: int) -> int:
-    """Return how many engines hold one step of each model at once.
+    """Return how many engines can run one step of each model at the same time.
 
     Parameters
     ----------
     samples : mapping
-        Samples of a step of each model; models without any are left out.
+        Number of samples in a step of each model.
     slots : int
-        Samples that an engine generates at once, at least 1.
+        Number of samples that an engine generates at once, at least 1.
 
     Returns
     -------
@@ -65,43 +66,45 @@
 
 def spread_engines(
     needed: int,
-    places: Mapping[DataCentreName, PlacePrice],
+    offers: Mapping[DataCentreName, EngineOffer],
     unavailable: Collection[DataCentreName] = (),
 ) -> dict[DataCentreName, int]:
     """Return how many engines each data centre should have.
 
-    They are spread evenly, so that the loss of a data centre takes the least; what is
-    left over goes where it is cheapest.
+    Engines are spread evenly, so that the loss of a data centre takes as few as
+    possible. The remainder goes to the cheapest data centres.
 
     Parameters
     ----------
     needed : int
-        Engines in all data centres together; bounds of the data centres go before it.
+        Engines in all data centres together. The bounds of the data centres take
+        precedence.
     unavailable : collection of DataCentreName
-        Where none is to be had just now: these are asked for no more than the least.
+        Data centres that have no engines to give at present, and so get only their
+        lower bound.
     """
-    counts = {name: place.least for name, place in places.items()}
-    open_places = [name for name in places if name not in unavailable]
+    counts = {name: offer.least for name, offer in offers.items()}
+    available = [name for name in offers if name not in unavailable]
     for _ in range(max(needed - sum(counts.values()), 0)):
-        free = [name for name in open_places if counts[name] < places[name].most]
+        free = [name for name in available if counts[name] < offers[name].most]
         if not free:
             break
-        best = min(free, key=lambda name: (counts[name], places[name].price, name))
+        best = min(free, key=lambda name: (counts[name], offers[name].price, name))
         counts[best] += 1
     return counts
 
 
-class HeldNeed:
-    """The largest need of late, so that engines do not come and go with each step."""
+class PeakNeed:
+    """Largest recent need, which keeps engines from being scaled with each step."""
 
-    def __init__(self, hold: timedelta = HOLD):
-        self._hold_s = hold.total_seconds()
+    def __init__(self, period: timedelta = PEAK_PERIOD):
+        self._period_s = period.total_seconds()
         self._needs: list[tuple[float, int]] = []
 
     def note(self, now: float, needed: int) -> int:
-        """Note what is needed at a monotonic time; return what counts."""
-        since = now - self._hold_s
-        # Only a need that no later one exceeds can count in future.
+        """Record the need at a monotonic time and return the largest recent one."""
+        since = now - self._period_s
+        # A need that a later one reaches or exceeds can no longer be the largest.
         kept = [(at, each) for at, each in self._needs if at > since and each > needed]
         self._needs = [*kept, (now, needed)]
         return self._needs[0][1]
--- a/src/bankrudder/supply/_keeping.py
+++ b/src/bankrudder/supply/_keeping.py
@@ -15,8 +15,8 @@
 from bankrudder.fleet import EndpointDirectory
 from bankrudder.routing import RoutingTable, Scaling, Service, ServiceName
 from bankrudder.scheduling import (
-    HeldNeed,
-    PlacePrice,
+    EngineOffer,
+    PeakNeed,
     engines_needed,
     spread_engines,
 )
@@ -67,7 +67,7 @@
         self._clock = clock
         self._ordered: dict[_Subject, int] = {}
         self._ordered_under: RowVersion | None = None
-        self._held: dict[_Subject, HeldNeed] = {}
+        self._held: dict[_Subject, PeakNeed] = {}
         self._unavailable_until: dict[_Subject, float] = {}
 
     async def look(self) -> None:
@@ -87,12 +87,12 @@
         needed = self._needed(service)
         if not needed:
             return  # nothing is known of the work: what is there stays
-        places = {
-            name: PlacePrice(scaling.least, scaling.most, price)
+        offers = {
+            name: EngineOffer(scaling.least, scaling.most, price)
             for name, price in scaling.prices.items()
         }
         unavailable = self._unavailable(service.name)
-        wanted = spread_engines(needed, places, unavailable)
+        wanted = spread_engines(needed, offers, unavailable)
         for data_centre, wanted_now in wanted.items():
             subject = _Subject(service.name, data_centre)
             count = self._held_count(subject, wanted_now)
@@ -109,7 +109,7 @@
         """
         now = self._clock.monotonic()
         if subject not in self._held:
-            self._held[subject] = HeldNeed()
+            self._held[subject] = PeakNeed()
             self._held[subject].note(now, self._listed(subject))
         return self._held[subject].note(now, wanted)
 
--- a/tests/orders/test_switching.py
+++ b/tests/orders/test_switching.py
@@ -164,7 +164,7 @@
 
 
 async def test_engines_of_use_load_only_while_slots_are_free(switch, monkeypatch):
-    monkeypatch.setattr("bankrudder.scheduling._loads.OVERDUE_LOADS", 100.0)
+    monkeypatch.setattr("bankrudder.scheduling._loads.OVERDUE_LOAD_FACTOR", 100.0)
     # One of the two follows at once, and the other one waits: both are nearly full.
     engines = await switch(2, {"m": 2}, running=7)
     assert sorted(each["m"] for each in engines.versions.values()) == [1, 2]
--- a/tests/scheduling/test_assignment.py
+++ b/tests/scheduling/test_assignment.py
@@ -1,4 +1,4 @@
-"""Engines are shared among models by work, and seldom change hands."""
+"""Engines are assigned to models by their work, and seldom change their model."""
 
 import pytest
 
@@ -13,7 +13,7 @@
     return {model: models.count(model) for model in set(models)}
 
 
-def test_engines_go_by_share_of_work():
+def test_engines_are_assigned_by_share_of_work():
     assigned = assign_engines(ENGINES, {"a": 276.0, "b": 126.0}, {})
     assert counts(assigned) == {"a": 3, "b": 2}
 
@@ -22,7 +22,7 @@
     assert counts(assign_engines(ENGINES, {"a": 0.0}, {})) == {"a": 5}
 
 
-def test_models_without_known_work_share_alike():
+def test_models_without_known_work_get_equal_shares():
     assigned = assign_engines(ENGINES[:4], {"a": 0.0, "b": 0.0}, {})
     assert counts(assigned) == {"a": 2, "b": 2}
 
@@ -32,18 +32,18 @@
     assert counts(assigned) == {"a": 4, "b": 1}
 
 
-def test_small_changes_of_work_move_nothing():
+def test_small_changes_of_work_move_no_engine():
     before = assign_engines(ENGINES, {"a": 276.0, "b": 126.0}, {})
     assert assign_engines(ENGINES, {"a": 240.0, "b": 140.0}, before) == before
 
 
-def test_an_engine_moves_when_a_model_loses_its_last():
+def test_an_engine_moves_to_a_model_that_lost_its_last_engine():
     before = {"e1": "a", "e2": "a", "e3": "b"}
     after = assign_engines(["e1", "e2"], {"a": 1.0, "b": 1.0}, before)
     assert counts(after) == {"a": 1, "b": 1}
 
 
-def test_a_returning_engine_goes_to_the_model_that_lacks_most():
+def test_an_added_engine_goes_to_the_model_that_lacks_most():
     before = {"e1": "a", "e2": "a", "e3": "b"}
     after = assign_engines(["e1", "e2", "e3", "e9"], {"a": 1.0, "b": 1.0}, before)
     assert after["e9"] == "b"
@@ -60,7 +60,7 @@
     assert counts(assigned) == {"a": 4, "b": 6}
 
 
-def test_engines_are_given_up_once_there_are_far_too_many():
+def test_engines_are_released_only_from_far_too_many():
     before = {f"e{number}": "a" for number in range(20)}
     after = assign_engines(list(before), {"a": 1.0}, before, {"a": 8})
     assert counts(after) == {"a": 8}
@@ -84,21 +84,21 @@
     assert followed == {"e1": "a", "e2": "b", "e3": "a"}
 
 
-def test_versions_that_tell_nothing_are_passed_over():
-    # An engine that was added has the newest of all, and before the first is named
-    # all have the first.
+def test_engines_with_ambiguous_versions_are_left_out():
+    # An engine that was added later has the newest version of every model. Before any
+    # version is named, all engines have the first version.
     assert followed_models({"e1": {"a": 9, "b": 8}}, {"a": 9, "b": 8}) == {}
     assert followed_models({"e1": {"a": 1, "b": 1}}, {}) == {}
 
 
-def test_the_first_version_that_is_named_tells_nothing_of_engines_that_lack_it():
+def test_engines_without_the_first_named_version_are_left_out():
     versions = {name: {"a": 1, "b": 1, "c": 1} for name in SIX}
     assert followed_models(versions, {"a": 2}) == {}
     versions["e1"] = {"a": 2, "b": 1, "c": 1}
     assert followed_models(versions, {"a": 2}) == {"e1": "a"}
 
 
-def test_who_begins_to_give_orders_changes_no_model():
+def test_a_new_lease_holder_keeps_the_assignment():
     named = {"a": 9, "b": 8}
     versions = {
         "e1": {"a": 1, "b": 8},
@@ -116,45 +116,58 @@
 
 
 @pytest.mark.parametrize("unit", [0.25, 1.0, 4.0])
-def test_no_model_has_slow_engines_only_while_another_has_none(unit):
-    gaps = dict.fromkeys(SIX, 0.038 * unit) | {"e3": 0.05 * unit, "e4": 0.05 * unit}
-    after = assign_engines(SIX, THREE, PAIRS, gaps=gaps)
+def test_slow_engines_are_spread_over_models(unit):
+    event_gaps = dict.fromkeys(SIX, 0.038 * unit) | {
+        "e3": 0.05 * unit,
+        "e4": 0.05 * unit,
+    }
+    after = assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps)
     slow = [after["e3"], after["e4"]]
     assert len(set(slow)) == 2
     assert counts(after) == counts(PAIRS)
 
 
-def test_quick_engines_that_are_shared_well_stay():
-    gaps = dict.fromkeys(SIX, 0.038) | {"e1": 0.05, "e3": 0.05}
-    assert assign_engines(SIX, THREE, PAIRS, gaps=gaps) == PAIRS
+def test_fast_engines_that_are_spread_evenly_are_not_exchanged():
+    event_gaps = dict.fromkeys(SIX, 0.038) | {"e1": 0.05, "e3": 0.05}
+    assert assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps) == PAIRS
 
 
-def test_engines_of_unknown_or_like_speed_stay():
-    assert assign_engines(SIX, THREE, PAIRS, gaps={"e3": 0.05, "e4": 0.05}) == PAIRS
-    gaps = {name: 0.038 + 0.001 * place for place, name in enumerate(SIX)}
-    assert assign_engines(SIX, THREE, PAIRS, gaps=gaps) == PAIRS
+def test_engines_of_unknown_or_similar_speed_are_not_exchanged():
+    assert (
+        assign_engines(SIX, THREE, PAIRS, event_gaps={"e3": 0.05, "e4": 0.05}) == PAIRS
+    )
+    event_gaps = {name: 0.038 + 0.001 * place for place, name in enumerate(SIX)}
+    assert assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps) == PAIRS
 
 
 SLOW_OF_A_AND_B = dict.fromkeys(SIX, 0.038) | {"e1": 0.05, "e3": 0.05}
 
 
 @pytest.mark.parametrize("unit", [0.25, 1.0, 4.0])
-def test_quick_engines_go_to_the_models_whose_batches_last_longest(unit):
-    lasting = {"a": 8.4 * unit, "b": 6.0 * unit, "c": 3.5 * unit}
-    after = assign_engines(SIX, THREE, PAIRS, gaps=SLOW_OF_A_AND_B, lasting=lasting)
+def test_fast_engines_go_to_the_models_with_the_longest_open_batches(unit):
+    open_times = {"a": 8.4 * unit, "b": 6.0 * unit, "c": 3.5 * unit}
+    after = assign_engines(
+        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+    )
     assert counts(after) == counts(PAIRS)
     assert {after["e1"], after["e3"]} == {"c"}
 
 
-def test_an_exchange_is_not_undone_by_what_it_brings_about():
-    lasting = {"a": 8.4, "b": 6.0, "c": 3.5}
-    after = assign_engines(SIX, THREE, PAIRS, gaps=SLOW_OF_A_AND_B, lasting=lasting)
+def test_an_exchange_is_not_undone_by_its_effect():
+    open_times = {"a": 8.4, "b": 6.0, "c": 3.5}
+    after = assign_engines(
+        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+    )
     later = {"a": 7.3, "b": 5.2, "c": 4.7}
-    again = assign_engines(SIX, THREE, after, gaps=SLOW_OF_A_AND_B, lasting=later)
+    again = assign_engines(
+        SIX, THREE, after, event_gaps=SLOW_OF_A_AND_B, open_times=later
+    )
     assert again == after
 
 
-def test_models_whose_batches_last_alike_keep_their_engines():
-    lasting = {"a": 5.0, "b": 4.5, "c": 4.0}
-    after = assign_engines(SIX, THREE, PAIRS, gaps=SLOW_OF_A_AND_B, lasting=lasting)
+def test_models_with_similar_open_times_keep_their_engines():
+    open_times = {"a": 5.0, "b": 4.5, "c": 4.0}
+    after = assign_engines(
+        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+    )
     assert after == PAIRS
--- a/tests/scheduling/test_ranking.py
+++ b/tests/scheduling/test_ranking.py
@@ -1,4 +1,4 @@
-"""Which samples get slots first."""
+"""Order in which samples get slots."""
 
 from datetime import timedelta
 
@@ -33,17 +33,17 @@
     assert found == ["b0", "b1", "a1", "a0", "c0", "c1"]
 
 
-def test_the_longest_groups_that_are_not_waited_for_go_last():
+def test_the_longest_groups_beyond_the_target_go_last():
     found = order_of(batch({"a": [5], "b": [20], "c": [7], "d": [30]}, target=2))
     assert found == ["c0", "a0", "d0", "b0"]
 
 
-def test_a_group_that_was_begun_before_goes_first_however_long():
+def test_a_carried_group_goes_first_however_long():
     groups = {"a": [5], "b": [20], "c": [7]}
     assert order_of(batch(groups, target=2), ["b0"]) == ["b0", "c0", "a0"]
 
 
-def test_with_a_group_that_was_begun_before_no_other_is_put_off():
+def test_with_a_carried_group_no_other_is_put_last():
     groups = {"a": [5], "b": [20], "c": [7]}
     assert order_of(batch(groups, target=2), ["a0"]) == ["a0", "b0", "c0"]
 
@@ -54,9 +54,9 @@
 
 
 @pytest.mark.parametrize("factor", [0.25, 1.0, 4.0])
-def test_what_has_to_begin_sooner_goes_first_whichever_batch_it_is_of(factor):
-    # A second apart, with ten tokens a second: the longest group of the newer batch
-    # needs seven seconds, the shorter one of the older batch two.
+def test_the_earliest_required_start_goes_first_across_batches(factor):
+    # The batches start a second apart, at ten tokens a second: the longest group of the
+    # newer batch needs seven seconds, the shorter group of the older batch two.
     token_s = 0.1 * factor
     older = batch({"a": [20], "b": [60]}, target=2, name="older")
     newer = batch({"c": [70], "d": [15]}, target=2, name="newer")
@@ -65,13 +65,13 @@
     assert sorted(ranks, key=ranks.get) == ["c0", "b0", "a0", "d0"]
 
 
-def test_groups_that_were_begun_before_go_before_all_others():
+def test_carried_groups_go_before_groups_of_older_batches():
     one = ranks_of(batch({"a": [50]}, target=1), (), 0.0, 0.1)
     other = ranks_of(batch({"b": [5]}, target=1), ["b0"], 9.0, 0.1)
     assert other["b0"] < one["a0"]
 
 
-def test_the_time_of_a_token_follows_what_samples_took():
+def test_the_token_time_is_a_moving_mean_over_samples():
     pace = TokenPace()
     assert pace.seconds == 0.0
     pace.note(100, timedelta(seconds=10))
@@ -83,16 +83,16 @@
     assert pace.seconds == pytest.approx(0.4, rel=0.02)
 
 
-def test_without_a_target_no_group_is_put_off():
+def test_without_a_target_no_group_is_put_last():
     found = order_of(batch({"a": [5], "b": [20]}, target=0))
     assert found == ["b0", "a0"]
 
 
-def test_samples_of_earlier_batches_are_known_again():
+def test_samples_of_recent_batches_count_as_carried():
     carried = CarriedSamples()
     first = batch({"a": [1], "b": [1]}, target=1, name="one")
     assert carried.note(first) == frozenset()
-    assert carried.note(first) == frozenset()  # begun once more, after a takeover
+    assert carried.note(first) == frozenset()  # started again after a takeover
     again = batch({"b": [1], "c": [1]}, target=1, name="two")
     assert carried.note(again) == {"b0"}
     for number in range(REMEMBERED_BATCHES):
--- a/tests/scheduling/test_supply.py
+++ b/tests/scheduling/test_supply.py
@@ -1,4 +1,4 @@
-"""How many engines are ordered, and where: several trainers ask at the same moment."""
+"""Number of engines ordered in each data centre for simultaneous steps of trainers."""
 
 from datetime import timedelta
 
@@ -7,27 +7,27 @@
 from hypothesis import strategies as st
 
 from bankrudder.scheduling import (
-    HeldNeed,
-    PlacePrice,
+    EngineOffer,
+    PeakNeed,
     engines_needed,
     spread_engines,
 )
 
 FOUR_TRAINERS = {"m0": 96, "m1": 80, "m2": 96, "m3": 80}
-PLACES = {
-    "a": PlacePrice(1, 11, 1.0),
-    "b": PlacePrice(1, 11, 0.8),
-    "c": PlacePrice(1, 11, 1.25),
-    "d": PlacePrice(1, 11, 0.9),
+OFFERS = {
+    "a": EngineOffer(1, 11, 1.0),
+    "b": EngineOffer(1, 11, 0.8),
+    "c": EngineOffer(1, 11, 1.25),
+    "d": EngineOffer(1, 11, 0.9),
 }
 
 
-def test_all_samples_that_four_trainers_ask_at_once_have_places():
+def test_samples_of_four_simultaneous_steps_all_have_slots():
     assert engines_needed(FOUR_TRAINERS, 8) == 12 + 10 + 12 + 10 + 2
 
 
 @pytest.mark.parametrize("factor", [0.25, 1, 4])
-def test_the_need_follows_the_samples_and_the_slots(factor):
+def test_the_need_is_proportional_to_samples_and_slots(factor):
     usual = engines_needed(FOUR_TRAINERS, 8) - 2
     samples = {model: int(count * factor) for model, count in FOUR_TRAINERS.items()}
     assert engines_needed(samples, 8) - 2 == pytest.approx(usual * factor, abs=2)
@@ -37,26 +37,26 @@
 
 
 @pytest.mark.parametrize("samples", [{}, {"m0": 0}])
-def test_without_any_work_nothing_is_known_of_the_need(samples):
+def test_without_samples_no_engines_are_needed(samples):
     assert engines_needed(samples, 8) == 0
 
 
-def test_engines_are_spread_over_the_data_centres():
-    counts = spread_engines(22, PLACES)
+def test_engines_are_spread_evenly_with_the_rest_where_cheapest():
+    counts = spread_engines(22, OFFERS)
     assert sorted(counts.values()) == [5, 5, 6, 6]
     assert counts["b"] == counts["d"] == 6
 
 
-def test_no_data_centre_gets_more_than_it_may():
-    assert spread_engines(100, PLACES) == dict.fromkeys(PLACES, 11)
+def test_no_data_centre_gets_more_than_its_upper_bound():
+    assert spread_engines(100, OFFERS) == dict.fromkeys(OFFERS, 11)
 
 
-def test_no_data_centre_gets_less_than_it_must():
-    assert spread_engines(0, PLACES) == dict.fromkeys(PLACES, 1)
+def test_no_data_centre_gets_less_than_its_lower_bound():
+    assert spread_engines(0, OFFERS) == dict.fromkeys(OFFERS, 1)
 
 
-def test_what_one_data_centre_cannot_give_others_do():
-    counts = spread_engines(22, PLACES, unavailable=["b"])
+def test_other_data_centres_replace_an_unavailable_one():
+    counts = spread_engines(22, OFFERS, unavailable=["b"])
     assert counts["b"] == 1
     assert sum(counts.values()) == 22
 
@@ -71,39 +71,39 @@
     st.sets(st.sampled_from("abcdef")),
 )
 def test_bounds_hold_and_no_more_is_ordered_than_needed(needed, bounds, unavailable):
-    places = {
-        name: PlacePrice(least, least + more, price)
+    offers = {
+        name: EngineOffer(least, least + more, price)
         for name, (least, more, price) in bounds.items()
     }
-    counts = spread_engines(needed, places, unavailable)
-    assert counts.keys() == places.keys()
+    counts = spread_engines(needed, offers, unavailable)
+    assert counts.keys() == offers.keys()
     assert all(
-        places[name].least <= counts[name] <= places[name].most for name in counts
+        offers[name].least <= counts[name] <= offers[name].most for name in counts
     )
-    least = sum(place.least for place in places.values())
+    least = sum(offer.least for offer in offers.values())
     assert sum(counts.values()) <= max(needed, least)
 
 
-def test_engines_stay_between_two_steps():
-    held = HeldNeed(timedelta(seconds=60))
-    assert held.note(0.0, 40) == 40
-    assert held.note(30.0, 10) == 40
-    assert held.note(59.0, 10) == 40
-    assert held.note(61.0, 10) == 10
+def test_a_past_need_counts_for_the_period():
+    peak = PeakNeed(timedelta(seconds=60))
+    assert peak.note(0.0, 40) == 40
+    assert peak.note(30.0, 10) == 40
+    assert peak.note(59.0, 10) == 40
+    assert peak.note(61.0, 10) == 10
 
 
 def test_a_greater_need_counts_at_once():
-    held = HeldNeed(timedelta(seconds=60))
-    assert held.note(0.0, 10) == 10
-    assert held.note(1.0, 20) == 20
-    assert held.note(62.0, 5) == 5
+    peak = PeakNeed(timedelta(seconds=60))
+    assert peak.note(0.0, 10) == 10
+    assert peak.note(1.0, 20) == 20
+    assert peak.note(62.0, 5) == 5
 
 
 @given(st.lists(st.tuples(st.floats(0, 30), st.integers(0, 50)), min_size=1))
-def test_what_counts_is_the_largest_need_of_the_time(steps):
-    held = HeldNeed(timedelta(seconds=60))
+def test_the_largest_need_of_the_period_counts(steps):
+    peak = PeakNeed(timedelta(seconds=60))
     now, seen = 0.0, []
     for pause, needed in steps:
         now += pause
         seen.append((now, needed))
-        assert held.note(now, needed) == max(n for at, n in seen if at > now - 60)
+        assert peak.note(now, needed) == max(n for at, n in seen if at > now - 60)
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -10,7 +10,7 @@
     Scaling,
     Service,
 )
-from bankrudder.scheduling._supply import HOLD
+from bankrudder.scheduling._supply import PEAK_PERIOD
 from bankrudder.supply import SupplyKeeper
 from bankrudder.supply._keeping import UNAVAILABLE_S
 
@@ -142,7 +142,7 @@
     assert await supply.look() == {}
     supply.clock.advance(50.0)
     assert await supply.look() == {}
-    supply.clock.advance(HOLD.total_seconds())
+    supply.clock.advance(PEAK_PERIOD.total_seconds())
     assert await supply.look() == {"north": 1}
 
 
@@ -161,7 +161,7 @@
         supply.directory.put(engine)
     supply.owners.samples = {"m0": 800}
     assert await supply.look() == {"south": 11}
-    supply.clock.advance(HOLD.total_seconds() + 1)
+    supply.clock.advance(PEAK_PERIOD.total_seconds() + 1)
     assert await supply.look() == {"north": 11}
 
 
