--- a/src/bankrudder/supply/__init__.py
+++ b/src/bankrudder/supply/__init__.py
@@ -1,4 +1,4 @@
-"""Ordering of endpoints from the platform, where operators let it."""
+"""Ordering of endpoints from the platform, for services that operators let scale."""
 
 from bankrudder.supply._keeping import SUPPLY_PAUSE_S, SupplyKeeper
 
--- a/src/bankrudder/supply/_keeping.py
+++ b/src/bankrudder/supply/_keeping.py
@@ -1,8 +1,7 @@
-"""Keeps the number of engines of each service at what its work needs.
+"""Scales the engines of each service to the number that its samples need.
 
-Each order names the whole number of engines of a service in a data centre. So an order
-whose answer was lost, and one that the next holder of the duty makes again, grow
-nothing twice.
+Each order gives the total number of engines of a service in a data centre. So repeating
+an order, after a lost response or on the next holder of the duty, adds no engines.
 """
 
 from collections.abc import Callable
@@ -24,16 +23,17 @@
 from bankrudder.world import Clock, DataCentreName
 
 SUPPLY_PAUSE_S = 0.5
-"""Pause between two looks: an eighth of an engine's start, for no call."""
+"""Pause between two checks: an eighth of an engine's start-up time. A check that orders
+nothing makes no call."""
 
-UNAVAILABLE_S = 5.0
-"""Time after which a data centre that had no engines to give is asked again."""
+UNAVAILABLE_RETRY_S = 5.0
+"""Time after which engines are ordered again from a data centre that had none."""
 
 _log = structlog.get_logger("supply")
 
 
-class _Subject(msgspec.Struct, frozen=True):
-    """What one order is about."""
+class _OrderScope(msgspec.Struct, frozen=True):
+    """The service and data centre that an order applies to."""
 
     service: ServiceName
     data_centre: DataCentreName
@@ -45,9 +45,9 @@
     Parameters
     ----------
     owners : OwnerBook
-        Tells how many samples the steps of each model have.
+        Gives the number of samples in the steps of each model.
     fence : callable
-        Fencing token of the duty; another one makes all orders again.
+        Fencing token of the duty. A new token causes all orders to be made again.
     """
 
     def __init__(
@@ -65,55 +65,56 @@
         self._owners = owners
         self._fence = fence
         self._clock = clock
-        self._ordered: dict[_Subject, int] = {}
-        self._ordered_under: RowVersion | None = None
-        self._held: dict[_Subject, PeakNeed] = {}
-        self._unavailable_until: dict[_Subject, float] = {}
+        self._ordered: dict[_OrderScope, int] = {}
+        self._ordered_fence: RowVersion | None = None
+        self._peaks: dict[_OrderScope, PeakNeed] = {}
+        self._unavailable_until: dict[_OrderScope, float] = {}
 
     async def look(self) -> None:
-        """Order what is needed now and was not ordered yet."""
+        """Order the engines that are needed now and were not ordered yet."""
         table = self._routes()
         if table is None or not self._owners.is_loaded:
             return
-        if self._ordered_under != self._fence():
-            self._ordered_under = self._fence()
+        if self._ordered_fence != self._fence():
+            self._ordered_fence = self._fence()
             self._ordered.clear()
-            self._held.clear()
+            self._peaks.clear()
         for service in table.configuration.services:
             if service.scaling is not None and service.models:
-                await self._supply(service, service.scaling)
+                await self._scale_service(service, service.scaling)
 
-    async def _supply(self, service: Service, scaling: Scaling) -> None:
-        needed = self._needed(service)
+    async def _scale_service(self, service: Service, scaling: Scaling) -> None:
+        needed = self._needed_count(service)
         if not needed:
-            return  # nothing is known of the work: what is there stays
+            return  # no samples are known: the present engines stay
         offers = {
             name: EngineOffer(scaling.least, scaling.most, price)
             for name, price in scaling.prices.items()
         }
-        unavailable = self._unavailable(service.name)
-        wanted = spread_engines(needed, offers, unavailable)
-        for data_centre, wanted_now in wanted.items():
-            subject = _Subject(service.name, data_centre)
-            count = self._held_count(subject, wanted_now)
+        unavailable = self._unavailable_data_centres(service.name)
+        target_counts = spread_engines(needed, offers, unavailable)
+        for data_centre, target_count in target_counts.items():
+            scope = _OrderScope(service.name, data_centre)
+            count = self._peak_count(scope, target_count)
             if count > scaling.most:
-                continue  # an order within the bounds would take some away
-            is_so = count == self._ordered.get(subject, self._listed(subject))
-            if not is_so and data_centre not in unavailable:
-                await self._order(subject, count, needed)
+                continue  # an order within the bounds would remove engines
+            is_ordered = count == self._ordered.get(scope, self._listed_count(scope))
+            if not is_ordered and data_centre not in unavailable:
+                await self._order(scope, count, needed)
 
-    def _held_count(self, subject: _Subject, wanted: int) -> int:
-        """Return the largest number of late, that which was found here included.
+    def _peak_count(self, scope: _OrderScope, target_count: int) -> int:
+        """Return the largest recent count, including the engines listed at the start.
 
-        A new holder has seen the work of no minute yet: what it finds was needed.
+        A new holder of the duty knows no past needs, so it assumes that the engines it
+        finds were needed.
         """
         now = self._clock.monotonic()
-        if subject not in self._held:
-            self._held[subject] = PeakNeed()
-            self._held[subject].note(now, self._listed(subject))
-        return self._held[subject].note(now, wanted)
+        if scope not in self._peaks:
+            self._peaks[scope] = PeakNeed()
+            self._peaks[scope].note(now, self._listed_count(scope))
+        return self._peaks[scope].note(now, target_count)
 
-    def _needed(self, service: Service) -> int:
+    def _needed_count(self, service: Service) -> int:
         samples = {
             model: count
             for model in service.models
@@ -123,37 +124,37 @@
         slots = min((each.endpoint.slots for each in engines), default=1)
         return engines_needed(samples, slots)
 
-    def _listed(self, subject: _Subject) -> int:
-        """Return how many engines are there, of those that stay."""
-        engines = self._directory.of_service(subject.service)
+    def _listed_count(self, scope: _OrderScope) -> int:
+        """Return the number of listed engines that take new requests."""
+        engines = self._directory.of_service(scope.service)
         return sum(
-            each.endpoint.data_centre == subject.data_centre and each.takes_work
+            each.endpoint.data_centre == scope.data_centre and each.takes_work
             for each in engines
         )
 
-    def _unavailable(self, service: ServiceName) -> set[DataCentreName]:
+    def _unavailable_data_centres(self, service: ServiceName) -> set[DataCentreName]:
         now = self._clock.monotonic()
         return {
-            subject.data_centre
-            for subject, until in self._unavailable_until.items()
-            if subject.service == service and now < until
+            scope.data_centre
+            for scope, until in self._unavailable_until.items()
+            if scope.service == service and now < until
         }
 
-    async def _order(self, subject: _Subject, count: int, needed: int) -> None:
-        order = EndpointOrder(subject.service, subject.data_centre, count)
+    async def _order(self, scope: _OrderScope, count: int, needed: int) -> None:
+        order = EndpointOrder(scope.service, scope.data_centre, count)
         outcome = await self._duty.call(order)
         _log.info(
             "supply: engines ordered",
-            service=subject.service,
-            data_centre=subject.data_centre,
+            service=scope.service,
+            data_centre=scope.data_centre,
             count=count,
-            listed=self._listed(subject),
+            listed=self._listed_count(scope),
             needed=needed,
             outcome=outcome.value,
         )
         match outcome:
             case DutyOutcome.DONE | DutyOutcome.REJECTED:
-                self._ordered[subject] = count
+                self._ordered[scope] = count
             case DutyOutcome.REFUSED:
-                until = self._clock.monotonic() + UNAVAILABLE_S
-                self._unavailable_until[subject] = until
+                until = self._clock.monotonic() + UNAVAILABLE_RETRY_S
+                self._unavailable_until[scope] = until
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -1,4 +1,4 @@
-"""Orders of engines: by need, each once, none without the duty."""
+"""Engines are ordered by need, once for each count, and only by the lease holder."""
 
 import pytest
 
@@ -12,18 +12,18 @@
 )
 from bankrudder.scheduling._supply import PEAK_PERIOD
 from bankrudder.supply import SupplyKeeper
-from bankrudder.supply._keeping import UNAVAILABLE_S
+from bankrudder.supply._keeping import UNAVAILABLE_RETRY_S
 
 SCALING = Scaling(1, 11, {"north": 1.0, "south": 0.8})
 
 
-class Lease:
+class HeldLease:
     is_valid = True
     left_s = 2.0
     fence = 7
 
 
-class Owners:
+class OwnerBookStub:
     is_loaded = True
 
     def __init__(self, **samples):
@@ -33,7 +33,7 @@
         return self.samples.get(model, 0)
 
 
-class Platform:
+class PlatformStub:
     def __init__(self):
         self.outcomes = []
         self.orders = []
@@ -43,12 +43,12 @@
         return self.outcomes.pop(0) if self.outcomes else DutyOutcome.DONE
 
 
-class Supply:
+class ScaledService:
     def __init__(self, clock, scaling=SCALING):
         self.clock = clock
-        self.platform = Platform()
-        self.lease = Lease()
-        self.owners = Owners()
+        self.platform = PlatformStub()
+        self.lease = HeldLease()
+        self.owners = OwnerBookStub()
         self.directory = EndpointDirectory("north", clock)
         for number in range(4):
             place = "north" if number % 2 else "south"
@@ -71,7 +71,7 @@
         )
 
     async def look(self):
-        """Look once; return the numbers that were ordered, by data centre."""
+        """Check once; return the counts that were ordered, by data centre."""
         before = len(self.platform.orders)
         await self.keeper.look()
         orders = self.platform.orders[before:]
@@ -82,32 +82,32 @@
 
 @pytest.fixture
 def supply(hand_clock):
-    return Supply(hand_clock)
+    return ScaledService(hand_clock)
 
 
-async def test_without_work_what_is_there_stays(supply):
+async def test_without_samples_nothing_is_ordered(supply):
     assert await supply.look() == {}
 
 
-async def test_before_the_batches_are_known_nothing_is_ordered(supply):
+async def test_nothing_is_ordered_before_the_owner_book_is_loaded(supply):
     supply.owners.samples = {"m0": 80}
     supply.owners.is_loaded = False
     assert await supply.look() == {}
 
 
-async def test_a_service_that_operators_do_not_scale_is_left_alone(hand_clock):
-    supply = Supply(hand_clock, scaling=None)
+async def test_nothing_is_ordered_for_a_service_without_scaling(hand_clock):
+    supply = ScaledService(hand_clock, scaling=None)
     supply.owners.samples = {"m0": 80}
     assert await supply.look() == {}
 
 
-async def test_engines_are_ordered_for_the_samples_once(supply):
+async def test_engines_for_the_samples_are_ordered_once(supply):
     supply.owners.samples = {"m0": 80}
     assert await supply.look() == {"north": 6, "south": 6}
     assert await supply.look() == {}
 
 
-async def test_an_order_that_was_lost_names_the_same_number_again(supply):
+async def test_an_order_of_unknown_outcome_is_repeated_with_the_same_count(supply):
     supply.owners.samples = {"m0": 80}
     supply.platform.outcomes = [DutyOutcome.UNKNOWN, DutyOutcome.DONE]
     first = await supply.look()
@@ -116,25 +116,25 @@
     assert list(again.values()) == [6]
 
 
-async def test_the_next_holder_orders_no_more(supply):
+async def test_the_next_lease_holder_orders_the_same_counts(supply):
     supply.owners.samples = {"m0": 80}
     first = await supply.look()
     supply.lease.fence = 9
     assert await supply.look() == first
 
 
-async def test_a_data_centre_without_engines_is_asked_again_later(supply):
+async def test_a_data_centre_without_engines_is_retried_after_a_pause(supply):
     supply.owners.samples = {"m0": 80}
     supply.platform.outcomes = [DutyOutcome.REFUSED]
     refused = next(iter(await supply.look()))
     other = {"north": "south", "south": "north"}[refused]
     assert (await supply.look())[other] == 11
-    supply.clock.advance(UNAVAILABLE_S + 0.1)
+    supply.clock.advance(UNAVAILABLE_RETRY_S + 0.1)
     assert (await supply.look())[refused] == 6
 
 
-async def test_what_is_there_stays_while_the_work_is_not_known_for_long(supply):
-    """A new holder may see one of several trainers first."""
+async def test_a_new_lease_holder_does_not_scale_down_before_a_whole_period(supply):
+    """A new lease holder may at first know the samples of only one trainer."""
     supply.owners.samples = {"m0": 1}
     assert await supply.look() == {}
     supply.clock.advance(50.0)
@@ -146,14 +146,14 @@
     assert await supply.look() == {"north": 1}
 
 
-async def test_engines_are_not_moved_between_data_centres_for_evenness(supply):
+async def test_engines_are_not_moved_between_data_centres_to_even_them_out(supply):
     supply.directory.put(Endpoint("e9", "engines", "127.0.0.1:9", "south", 8))
     supply.owners.samples = {"m0": 24}
     assert await supply.look() == {}
 
 
-async def test_engines_beyond_the_bounds_are_not_taken_away_at_once(supply):
-    """An order within the bounds would drain what is at work."""
+async def test_engines_beyond_the_upper_bound_are_not_removed_at_once(supply):
+    """An order within the bounds would drain engines that run samples."""
     for number in range(20):
         engine = Endpoint(
             f"m{number}", "engines", f"127.0.0.1:{90 + number}", "north", 8
@@ -165,7 +165,7 @@
     assert await supply.look() == {"north": 11}
 
 
-async def test_without_the_duty_nothing_is_ordered(supply):
+async def test_nothing_is_ordered_without_the_lease(supply):
     supply.owners.samples = {"m0": 80}
     supply.lease.left_s = 0.0
     assert await supply.look() == {}
