--- a/src/bankrudder/routing/__init__.py
+++ b/src/bankrudder/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routes: what operators decide, and finding the route of a request."""
+"""Routing configuration, and lookup of the route of a request."""
 
 from bankrudder.routing._table import RoutingTable
 from bankrudder.routing._values import (
--- a/src/bankrudder/routing/_table.py
+++ b/src/bankrudder/routing/_table.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request."""
+"""Lookup of routes, services and workspace keys in a configuration."""
 
 from collections.abc import Iterable
 
@@ -17,20 +17,20 @@
 
     Parameters
     ----------
-    more_routes : iterable of Route
-        Routes beside those of the configuration, under host names of their own.
+    extra_routes : iterable of Route
+        Routes in addition to those of the configuration, with other host names.
 
     Raises
     ------
     DuplicateKeyError
-        If a key stands at two workspaces.
+        If two workspaces have the same key.
     """
 
     def __init__(
-        self, configuration: RoutingConfiguration, more_routes: Iterable[Route] = ()
+        self, configuration: RoutingConfiguration, extra_routes: Iterable[Route] = ()
     ):
         self._configuration = configuration
-        self._more_routes = tuple(more_routes)
+        self._extra_routes = tuple(extra_routes)
         workspaces = configuration.workspaces
         self._keys = None if workspaces is None else KeyIndex(workspaces)
         self._services = {each.name: each for each in configuration.services}
@@ -43,27 +43,27 @@
 
     @property
     def configuration(self) -> RoutingConfiguration:
-        """The configuration that this is an index of."""
+        """The indexed configuration."""
         return self._configuration
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """All routes."""
-        return self._configuration.routes + self._more_routes
+        """Routes of the configuration, followed by the extra routes."""
+        return self._configuration.routes + self._extra_routes
 
     @property
     def has_workspaces(self) -> bool:
-        """Whether requests need keys of workspaces."""
+        """Whether requests need a workspace key."""
         return self._keys is not None
 
     def admit(self, key: ApiKey | None, *, is_public: bool) -> Admitted | Denial:
-        """Decide whether a request may run, and for which workspace."""
+        """Return the workspace that a request runs for, or why it is denied."""
         if self._keys is None:
             return Admitted()
         return self._keys.admit(key, is_public=is_public)
 
     def takes_public_batches(self) -> bool:
-        """Whether any route takes batches without a key."""
+        """Whether any route takes batches without a workspace key."""
         return any(
             each.kind is RouteKind.ROLLOUT and each.is_public for each in self.routes
         )
@@ -73,13 +73,14 @@
         return self._services.get(name)
 
     def serves(self, name: ServiceName) -> bool:
-        """Whether a service is configured, or a route goes to it."""
+        """Whether a service is configured or is the target of a route."""
         return name in self._services or name in self._targets
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`, None without one.
+        """Return the route with the longest prefix of `path`, None if no route matches.
 
-        Prefixes begin and end with a slash, so only those are looked up.
+        Prefixes of routes begin and end with a slash, so only such prefixes of the path
+        are looked up.
         """
         host = host.partition(":")[0]
         end = len(path)
--- a/src/bankrudder/routing/_values.py
+++ b/src/bankrudder/routing/_values.py
@@ -1,4 +1,4 @@
-"""What operators decide about routes, as the project holds it."""
+"""Values of the routing configuration, independent of the format it arrives in."""
 
 from enum import Enum
 from typing import NewType
@@ -14,14 +14,14 @@
 
 
 class RouteKind(Enum):
-    """How the requests of a route may be run."""
+    """How a route's requests may be executed."""
 
     IDEMPOTENT = "idempotent"
-    """Running one twice does no harm."""
+    """Requests may be executed more than once."""
 
     AT_MOST_ONCE = "at_most_once"
     STREAM = "stream"
-    """The answer is a series of events."""
+    """The response is a stream of events."""
 
     ROLLOUT = "rollout"
     """Batches of samples for a trainer."""
@@ -35,32 +35,33 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests of one host name and path prefix go, and on what terms.
+    """Target services and limits for requests with one host name and path prefix.
 
     Attributes
     ----------
     services : tuple of WeightedService
-        At least one.
+        Target services, at least one.
     timeout_s : float
-        Longest time for which a caller may be kept waiting.
+        Longest time that a caller may wait for a response.
     target_s : float
-        Time within which an answer is most useful.
+        Latency within which a response is most useful.
     result_target_s : float
-        Time within which all results of a batch are due; 0 if it is not a rollout.
+        Time within which all results of a batch are due; 0 if the route is not a
+        rollout.
     retention_s : float
         Time after which a sample of a batch may be given up.
     max_attempts : int
-        Most endpoints that one request may be sent to.
+        Largest number of endpoints that a request may be sent to.
     priority : int
-        0 is the most urgent.
+        Priority of the requests; 0 is the most urgent.
     is_resumable : bool
-        Whether a stream may go on at another endpoint.
+        Whether a stream may be resumed on another endpoint.
     is_single_version : bool
-        Whether one sample must be made by one version of the weights.
+        Whether each sample must be generated with a single version of the weights.
     data_centres : tuple of DataCentreName
-        Where its requests may be processed; empty for anywhere.
+        Data centres that may process the requests; empty for all.
     is_public : bool
-        Whether its requests need no key of a workspace.
+        Whether requests need no workspace key.
     """
 
     name: RouteName
@@ -81,14 +82,14 @@
 
 
 class Scaling(msgspec.Struct, frozen=True):
-    """How many endpoints of a service may be ordered, and what they cost.
+    """How many endpoints of a service may be ordered, and their prices.
 
     Attributes
     ----------
     least, most : int
         Bounds on the endpoints in each data centre.
     prices : dict
-        Price of one endpoint for a second, by data centre, in any unit.
+        Price of one endpoint per second, by data centre, in any unit.
     """
 
     least: int
@@ -102,11 +103,11 @@
     Attributes
     ----------
     max_connections : int
-        Connections that each endpoint takes from all hosts together.
+        Connections that each endpoint accepts from all hosts together.
     models : tuple of ModelName
-        Models that its endpoints serve; none for plain services.
+        Models that the endpoints serve; empty for plain services.
     scaling : Scaling or None
-        None if the number of its endpoints is not ours to order.
+        Bounds and prices for ordering endpoints; None if no endpoints may be ordered.
     """
 
     name: ServiceName
@@ -116,7 +117,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the size of a caller's requests, and on its delays and idle time."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 32 << 20
@@ -125,12 +126,12 @@
 
 
 class RoutingConfiguration(msgspec.Struct, frozen=True):
-    """One whole configuration, as operators put it in force.
+    """One complete configuration, as operators put it in force.
 
     Attributes
     ----------
     workspaces : tuple of WorkspaceKeys or None
-        Who may send requests; None lets everybody.
+        Workspaces that may send requests; None if requests need no key.
     """
 
     revision: int
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -46,5 +46,5 @@
 @pytest.mark.parametrize(
     ("host", "path"), [("none.example", "/a/"), ("other.example", "/x"), ("h", "")]
 )
-def test_nothing_matches_otherwise(table, host, path):
+def test_without_a_matching_prefix_there_is_no_route(table, host, path):
     assert table.match(host, path) is None
