--- a/src/bankrudder/orders/__init__.py
+++ b/src/bankrudder/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines."""
+"""Orders to engines to load model versions, and the knowledge that they rely on."""
 
 from bankrudder.orders._announcing import LOADED_TABLE, LoadAnnouncer
 from bankrudder.orders._paces import PACES_PAUSE_S, EnginePaces
--- a/src/bankrudder/orders/_announcing.py
+++ b/src/bankrudder/orders/_announcing.py
@@ -1,11 +1,11 @@
-"""Telling the owners of batches which versions engines load and have loaded.
-
-The platform's list shows a loaded version with the engine's next heartbeat, more than a
-second later; until then samples that need it would wait. And an engine that loads
-refuses samples of its model for a second, which each owner would find out by sending it
-a dozen of them each tenth of a second. The host that gives the orders knows both, and
-writes it to a small table that owners follow while they work. What is lost or late
-costs no more than that.
+"""Announces to the owners of batches which versions engines load and have loaded.
+
+The platform's list shows a loaded version only with the engine's next heartbeat, more
+than a second later. Until then, samples that need the version would wait. An engine
+that loads refuses samples of its model for a second, and each owner would learn this
+only by sending it a dozen samples every tenth of a second. The host that gives the
+orders knows both facts and writes them to a small table, which owners follow while they
+run batches. A row that is lost or late causes only these waits and refusals.
 """
 
 import msgspec
@@ -23,7 +23,7 @@
 from bankrudder.world import Clock, ModelVersion
 
 LOADED_TABLE = "loaded"
-"""One row for each engine, replaced with each load."""
+"""Table with one row for each engine, which each load replaces."""
 
 _log = structlog.get_logger("orders")
 
@@ -35,7 +35,7 @@
     version: ModelVersion
     is_loading: bool = False
     born: Birth | None = None
-    """Birth of the engine's run that was given the order."""
+    """Birth of the engine's run that received the order."""
 
 
 class LoadAnnouncer:
@@ -47,7 +47,10 @@
         self._clock = clock
 
     async def announce(self, run: EndpointRun, state: EngineVersion) -> None:
-        """Tell all owners; failing to only delays them until the next heartbeat."""
+        """Write an engine's version for all owners.
+
+        If that fails, owners see the version with the engine's next heartbeat.
+        """
         state = msgspec.structs.replace(state, born=run.born)
         key = RowKey(LOADED_TABLE, "", run.endpoint)
         put = Put(key, msgspec.json.encode(state))
@@ -56,7 +59,7 @@
             _log.info("orders: load not announced", endpoint=run.endpoint)
 
     def take(self, row: Row) -> None:
-        """Take a row that was written by whoever gave the order."""
+        """Apply a row that the host that gave the order has written."""
         try:
             state = msgspec.json.decode(row.value, type=EngineVersion)
         except msgspec.DecodeError as error:
@@ -64,7 +67,7 @@
                 "orders: load not understood", endpoint=row.key.key, reason=str(error)
             )
             return
-        engine = self._run_of(EndpointRun(EndpointId(row.key.key), state.born))
+        engine = self._engine_of(EndpointRun(EndpointId(row.key.key), state.born))
         if engine is None:
             return
         if state.is_loading:
@@ -73,8 +76,8 @@
         else:
             engine.note_version(state.model, state.version)
 
-    def _run_of(self, run: EndpointRun) -> TrackedEndpoint | None:
-        """Return the engine if a row tells of its latest run."""
+    def _engine_of(self, run: EndpointRun) -> TrackedEndpoint | None:
+        """Return the engine of a run, None unless the run is the engine's latest."""
         engine = self._directory.note_run(run)
         if engine is None or engine.run != run:
             _log.info(
@@ -86,6 +89,6 @@
         return engine
 
     async def forget(self, engine: EndpointId) -> None:
-        """Remove the row of an engine that is gone."""
+        """Remove the row of an engine that is no longer listed."""
         key = RowKey(LOADED_TABLE, "", engine)
         await self._store.commit(Transaction(removals=(key,)))
--- a/src/bankrudder/orders/_paces.py
+++ b/src/bankrudder/orders/_paces.py
@@ -1,8 +1,9 @@
-"""Telling the host that gives orders how quick the engines are.
+"""Shares the speed of engines with the host that gives the orders.
 
-Owners of batches see how quickly each engine makes events; the host that shares the
-engines among models owns none as a rule. Each owner writes what it sees to a small
-table, one row for each engine, seldom and without a condition: the newest says enough.
+Owners of batches measure the time between events on each engine. The host that assigns
+engines to models usually owns no batch. So each owner writes its measurements to a
+small table with one row for each engine. Rows are seldom written, and without a
+precondition, as the newest measurement is enough.
 """
 
 from collections import deque
@@ -31,23 +32,25 @@
 PACES_TABLE = "paces"
 
 PACES_PAUSE_S = 1.0
-"""Pause between two looks: a fifth of the time that most steps take."""
+"""Pause between two rounds of writes and reads: a fifth of the time that most steps
+take."""
 
-MIN_CHANGE = 0.1
-"""A pace is told again once it changed by this share: less than what the load of an
-engine makes of it."""
+MIN_PACE_CHANGE = 0.1
+"""Relative change above which a pace is written again: less than the change that the
+load of an engine causes."""
 
-REMEMBERED = 20
-"""Looks whose median is the usual gap: twice as long as engines are slow now and then,
-so that this changes nothing; one that stays slow is known as such ten seconds later."""
+GAP_HISTORY_LENGTH = 20
+"""Number of latest reads whose median is the usual gap. The reads cover twice the
+duration of an occasional slowdown, which therefore does not change the median. An
+engine that stays slow is known to be slow ten seconds later."""
 
 _log = structlog.get_logger("orders")
 
 
 class EnginePace(msgspec.Struct, frozen=True):
-    """Value of a row: mean seconds from event to event, as one owner saw them.
+    """Value of a row: mean seconds between events, as one owner measured them.
 
-    ``born`` is the birth of the engine's run that was seen.
+    ``born`` is the birth of the engine's run that was measured.
     """
 
     gap_s: float
@@ -55,21 +58,21 @@
 
 
 class EnginePaces:
-    """Writes what this host sees of the engines, and reads what all saw."""
+    """Writes the paces that this host measured, and reads those of all hosts."""
 
     def __init__(self, store: Store, directory: EndpointDirectory):
         self._store = store
         self._directory = directory
-        self._told: dict[EndpointRun, float] = {}
-        self._seen: dict[EndpointRun, deque[float]] = {}
+        self._written: dict[EndpointRun, float] = {}
+        self._observed: dict[EndpointRun, deque[float]] = {}
 
     @property
     def usual(self) -> dict[EndpointId, float]:
-        """Usual seconds from event to event, by engine, where that is known."""
-        return {run.endpoint: median(gaps) for run, gaps in self._seen.items()}
+        """Usual seconds between events, by engine, where known."""
+        return {run.endpoint: median(gaps) for run, gaps in self._observed.items()}
 
     async def tell(self) -> None:
-        """Write the paces that changed; what is not written is tried again."""
+        """Write the paces that changed. After a failure the next call tries again."""
         changed = {
             each.run: each.event_gap_s
             for each in self._directory.all()
@@ -87,42 +90,51 @@
         )
         outcome = await self._store.commit(Transaction(puts=puts))
         if isinstance(outcome, Committed):
-            self._told.update(changed)
+            self._written.update(changed)
 
     async def look(self) -> None:
-        """Read what all owners told, and remove the rows of engines that are gone."""
+        """Read the paces of all owners, and remove the rows of unlisted engines."""
         try:
             page = await self._store.read(PACES_TABLE, "")
         except StoreUnavailableError as error:
             _log.info("orders: paces not read", reason=error.trouble.value)
             return
-        gone = []
+        gone_keys = []
         for row in page.rows:
             engine = self._directory.get(EndpointId(row.key.key))
             if engine is None:
-                gone.append(row.key)
+                gone_keys.append(row.key)
                 continue
-            gap_s = _told_gap(row, engine)
+            gap_s = _gap_in_row(row, engine)
             if gap_s is not None:
-                seen = self._seen.setdefault(engine.run, deque(maxlen=REMEMBERED))
-                seen.append(gap_s)
+                observed = self._observed.setdefault(
+                    engine.run, deque(maxlen=GAP_HISTORY_LENGTH)
+                )
+                observed.append(gap_s)
         self._forget_ended()
-        if gone:
-            await self._store.commit(Transaction(removals=tuple(gone)))
+        if gone_keys:
+            await self._store.commit(Transaction(removals=tuple(gone_keys)))
 
     def _forget_ended(self) -> None:
-        """Forget runs that have ended and engines that are gone."""
+        """Forget the runs that are not the latest run of a listed engine."""
         runs = {each.run for each in self._directory.all()}
-        self._seen = {run: gaps for run, gaps in self._seen.items() if run in runs}
-        self._told = {run: gap_s for run, gap_s in self._told.items() if run in runs}
+        self._observed = {
+            run: gaps for run, gaps in self._observed.items() if run in runs
+        }
+        self._written = {
+            run: gap_s for run, gap_s in self._written.items() if run in runs
+        }
 
     def _has_changed(self, run: EndpointRun, gap_s: float) -> bool:
-        told = self._told.get(run)
-        return told is None or abs(gap_s - told) > MIN_CHANGE * told
+        written_gap_s = self._written.get(run)
+        return (
+            written_gap_s is None
+            or abs(gap_s - written_gap_s) > MIN_PACE_CHANGE * written_gap_s
+        )
 
 
-def _told_gap(row: Row, engine: TrackedEndpoint) -> float | None:
-    """Return what a row tells of an engine's latest run, None if it tells nothing."""
+def _gap_in_row(row: Row, engine: TrackedEndpoint) -> float | None:
+    """Return the gap in a row, None unless it is a valid gap of the latest run."""
     try:
         pace = msgspec.json.decode(row.value, type=EnginePace)
     except msgspec.DecodeError as error:
@@ -133,7 +145,7 @@
     if pace.born == engine.run.born and pace.gap_s > 0:
         return pace.gap_s
     _log.info(
-        "orders: pace passed over",
+        "orders: stale or invalid pace ignored",
         endpoint=row.key.key,
         gap_s=pace.gap_s,
         born=pace.born,
--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -1,6 +1,7 @@
-"""What the host that gives orders knows of engines, and which loads follow from it.
+"""Plans the loads of engines on the host that gives the orders.
 
-It keeps what the decisions need from one look to the next, and does no I/O.
+The planner keeps the state that the scheduling policies need between two calls, and
+does no I/O.
 """
 
 import math
@@ -22,37 +23,38 @@
 )
 from bankrudder.world import Clock, ModelVersion
 
-LOADING_SHARE = 0.4
-MIN_LOADING = 2
-"""Engines of a service that load weights at once: at most this share, and at least
-so many. The platform's sheets name two of five or six, and nine of 22 or 23, as the
-number from which loads slow each other down."""
+MAX_LOADING_SHARE = 0.4
+MIN_LOADING_LIMIT = 2
+"""Largest share of a service's engines that may load weights at the same time, and the
+number that may always do so. According to the platform's data sheets, loads slow each
+other down from two of five or six engines, and from nine of 22 or 23."""
 
-OPEN_BATCHES = 2
-"""Batches of a model that are open at once: a trainer asks for the next one while the
-last samples of the one before are still generated."""
+OPEN_BATCH_COUNT = 2
+"""Batches of a model that are open at the same time: a trainer asks for the next batch
+while the last samples of the previous one are still generated."""
 
 SPARE_ENGINES = 2
-"""Engines beyond those that a model's samples fill: one may be lost, one loads."""
+"""Engines beyond those that a model's samples fill: one may be lost and one may be
+loading weights."""
 
 FULL_PAUSE_S = 0.2
-"""Time after which an engine that was full is asked again: twice the age of what it
-tells."""
+"""Time after which a full engine is asked again for its free slots: twice the age that
+its answer may have."""
 
-FIRST_LOAD = timedelta(seconds=1)
-LOAD_WEIGHT = 0.3
-"""How long a load is taken to last before the first one was seen, and the weight of the
-newest one in the mean."""
+INITIAL_LOAD_TIME = timedelta(seconds=1)
+LOAD_TIME_WEIGHT = 0.3
+"""Assumed duration of a load before the first one was measured, and the weight of the
+newest load in the mean duration."""
 
 _log = structlog.get_logger("orders")
 
 
 class OpenBatches(Protocol):
-    """What the batches that are worked on ask of the engines."""
+    """The open batches, as far as they decide about loads."""
 
     @property
     def is_loaded(self) -> bool:
-        """Whether all of them are known."""
+        """Whether all open batches are known."""
         ...
 
     def work_of(self, model: ModelName) -> float:
@@ -60,67 +62,68 @@
         ...
 
     def samples_of(self, model: ModelName) -> int:
-        """Return the samples of a model's largest batch, 0 if none is known."""
+        """Return the sample count of a model's largest batch, 0 if none is known."""
         ...
 
     def open_seconds(self) -> Mapping[ModelName, float]:
-        """Return for how long the latest batches of each model were open."""
+        """Return how many seconds the latest batches of each model were open."""
         ...
 
     def needed_version(self, model: ModelName) -> ModelVersion:
-        """Return the oldest version that every open batch may be made with."""
+        """Return the oldest version that every open batch may be generated with."""
         ...
 
 
 class LoadPlanner:
-    """Chooses the loads that shall begin.
+    """Chooses the loads that should begin.
 
     Parameters
     ----------
-    named : mapping
-        Newest version that was named for each model; read anew each time.
+    newest_versions : mapping
+        Newest version that was named for each model. The planner reads the mapping
+        again for each decision.
     open_batches : OpenBatches
-        What the batches that are worked on ask of the engines.
+        The open batches, as far as they decide about loads.
     usual_gaps : callable
-        Usual seconds from event to event, by engine, where that is known.
+        Returns the usual seconds between events, by engine, where known.
     """
 
     def __init__(
         self,
-        named: Mapping[ModelName, ModelVersion],
+        newest_versions: Mapping[ModelName, ModelVersion],
         open_batches: OpenBatches,
         usual_gaps: Callable[[], Mapping[EndpointId, float]],
         clock: Clock,
     ):
-        self._named = named
+        self._newest_versions = newest_versions
         self._open_batches = open_batches
         self._usual_gaps = usual_gaps
         self._clock = clock
         self._assigned: dict[ServiceName, dict[EndpointId, ModelName]] = {}
-        self._named_since: dict[ModelName, tuple[ModelVersion, float]] = {}
-        self._usual_load = FIRST_LOAD
+        self._newest_since: dict[ModelName, tuple[ModelVersion, float]] = {}
+        self._usual_load = INITIAL_LOAD_TIME
         self._has_seen_load = False
         self._full_until: dict[EndpointId, float] = {}
 
     @property
     def usual_load(self) -> timedelta | None:
-        """How long a load usually takes, None before the first was seen."""
+        """Usual duration of a load, None before the first was measured."""
         return self._usual_load if self._has_seen_load else None
 
-    def named_version(self, model: ModelName) -> ModelVersion:
+    def newest_version(self, model: ModelName) -> ModelVersion:
         """Return the newest version that was named for a model."""
-        return self._named[model]
+        return self._newest_versions[model]
 
     def forget_assignment(self) -> None:
-        """Read from the engines' versions anew which model each follows."""
+        """Infer the assignment again from the engines' versions at the next choice."""
         self._assigned.clear()
 
-    def note_load(self, lasted: timedelta) -> None:
-        """Note how long a load took."""
+    def note_load(self, duration: timedelta) -> None:
+        """Add a duration to the mean duration of loads."""
         if not self._has_seen_load:
-            self._usual_load = lasted
+            self._usual_load = duration
             self._has_seen_load = True
-        self._usual_load += LOAD_WEIGHT * (lasted - self._usual_load)
+        self._usual_load += LOAD_TIME_WEIGHT * (duration - self._usual_load)
 
     def note_full(self, engine: EndpointId) -> None:
         """Note that hardly any slot of an engine is free."""
@@ -132,31 +135,32 @@
         engines: Sequence[TrackedEndpoint],
         loading: Collection[EndpointId],
     ) -> list[ChosenLoad]:
-        """Return the loads of a service that shall begin now, the most urgent first.
+        """Return the loads of a service that should begin now, the most urgent first.
 
         Parameters
         ----------
         engines : sequence of TrackedEndpoint
-            All engines of the service, by their names.
+            All engines of the service, ordered by name.
         loading : collection of EndpointId
-            Those that load, or are given an order just now.
+            Engines that load or are being given an order.
         """
-        if not self._named or not self._open_batches.is_loaded:
-            # Nothing to load, or nothing that tells what engines follow; what is known
-            # of some batches only would give their models the engines of the others.
+        if not self._newest_versions or not self._open_batches.is_loaded:
+            # Either there is nothing to load, or not all open batches are known. An
+            # assignment based on some of them would give their models the engines of
+            # the other models.
             return []
         self._assign(service, engines)
-        most = max(MIN_LOADING, math.floor(LOADING_SHARE * len(engines)))
-        followed = self._followed(service, engines, loading)
-        return choose_loads(followed, self._demands(), most, self._usual_load)
+        most = max(MIN_LOADING_LIMIT, math.floor(MAX_LOADING_SHARE * len(engines)))
+        engine_loads = self._engine_loads(service, engines, loading)
+        return choose_loads(engine_loads, self._demands(), most, self._usual_load)
 
-    def _followed(
+    def _engine_loads(
         self,
         service: ServiceName,
         engines: Sequence[TrackedEndpoint],
         loading: Collection[EndpointId],
     ) -> list[EngineLoad]:
-        """Return the engines that follow a model, and how far they are."""
+        """Return the engines that follow a model, with their versions of it."""
         assigned = self._assigned[service]
         return [
             EngineLoad(
@@ -173,11 +177,11 @@
     def _demands(self) -> dict[ModelName, ModelDemand]:
         now = self._clock.monotonic()
         demands = {}
-        for model, version in self._named.items():
-            known = self._named_since.get(model)
+        for model, version in self._newest_versions.items():
+            known = self._newest_since.get(model)
             if known is None or known[0] != version:
                 known = (version, now)
-                self._named_since[model] = known
+                self._newest_since[model] = known
             newest_age = timedelta(seconds=now - known[1])
             demands[model] = ModelDemand(
                 version, self._open_batches.needed_version(model), newest_age
@@ -190,18 +194,18 @@
         previous = self._assigned.get(service)
         if previous is None:
             versions = {each.endpoint.id: each.versions for each in engines}
-            previous = followed_models(versions, self._named)
+            previous = followed_models(versions, self._newest_versions)
         most = self._most_engines(models, engines)
         names = [each.endpoint.id for each in engines]
         gaps = self._usual_gaps()
         open_times = self._open_batches.open_seconds()
-        after = assign_engines(names, shares, previous, most, gaps, open_times)
-        if after != self._assigned.get(service):
-            self._assigned[service] = after
+        assignment = assign_engines(names, shares, previous, most, gaps, open_times)
+        if assignment != self._assigned.get(service):
+            self._assigned[service] = assignment
             _log.info(
                 "orders: engines assigned",
                 service=service,
-                engines=after,
+                engines=assignment,
                 work={model: round(work) for model, work in shares.items()},
                 gaps={key: round(gaps[key], 4) for key in names if key in gaps},
                 open_seconds={key: round(each, 2) for key, each in open_times.items()},
@@ -210,11 +214,11 @@
     def _most_engines(
         self, models: Collection[ModelName], engines: Sequence[TrackedEndpoint]
     ) -> dict[ModelName, int]:
-        """Return how many engines each model's samples can use, where that is known."""
+        """Return how many engines the samples of each model can use, where known."""
         slots = min((each.endpoint.slots for each in engines), default=1)
         samples = {model: self._open_batches.samples_of(model) for model in models}
         return {
-            model: math.ceil(OPEN_BATCHES * count / slots) + SPARE_ENGINES
+            model: math.ceil(OPEN_BATCH_COUNT * count / slots) + SPARE_ENGINES
             for model, count in samples.items()
             if count
         }
--- a/src/bankrudder/orders/_switching.py
+++ b/src/bankrudder/orders/_switching.py
@@ -1,8 +1,8 @@
-"""Bringing the engines to the versions that trainers named.
+"""Orders engines to load the versions that trainers named.
 
-One host gives all orders, under a lease. An order holds only if the engine has taken
-as many orders as the holder believes: an order whose answer was lost can be sent
-again, since at most one of the two is carried out.
+One host gives all orders, under a lease. An engine accepts an order only if the order
+states the number of orders that the engine has accepted so far. So an order whose
+response was lost can be sent again: the engine carries out at most one of the two.
 """
 
 import asyncio
@@ -29,29 +29,32 @@
 from bankrudder.scheduling import ChosenLoad
 from bankrudder.world import Clock, HostId, ModelVersion
 
-LOOK_S = 0.05
-"""How often it is looked for engines with an old version."""
+CHECK_PAUSE_S = 0.05
+"""Pause between two checks for engines with an old version."""
 
-OFF_DUTY_LOOK_S = 0.2
-"""How often a host without the lease looks whether it has it now: a fifth of a load,
-while a lease changes hands some times a day."""
+STANDBY_CHECK_PAUSE_S = 0.2
+"""Pause between two checks of a host whether it has acquired the lease: a fifth of a
+load, while the lease changes its holder only a few times a day."""
 
-STATE_PAUSE_S = 0.05
-"""Pause between two questions whether an engine has loaded, from when that is likely: a
-twentieth of a load, as samples wait for its end."""
+STATE_POLL_PAUSE_S = 0.05
+"""Pause between two polls of an engine whose load is likely to have ended: a twentieth
+of a load, as samples wait for its end."""
 
-SURELY_LOADING_SHARE = 0.8
-"""Share of a load's usual time for which nothing is asked; loads vary little."""
+UNPOLLED_LOAD_SHARE = 0.8
+"""Share of a load's usual duration in which the engine is not polled: the durations of
+loads vary little."""
 
-FULL_SHARE = 0.75
-"""An engine of which more slots are taken is full soon or was just now: samples wait
-for those that become free, and would wait for a load as well."""
+FULL_SLOT_SHARE = 0.75
+"""Share of taken slots from which an engine counts as full. It will be full soon or was
+full a moment ago, so samples wait for its slots, and a load would make them wait
+longer."""
 
 LOAD_TIMEOUT_S = 6.0
-"""An order that was accepted and shows no effect for so long is given anew: several
-times a load."""
+"""Time after which an accepted order without effect is given again: several times the
+duration of a load."""
 
 RETRY_PAUSE_S = 0.3
+"""Pause after an unanswered question or an order that was not accepted."""
 
 _log = structlog.get_logger("orders")
 
@@ -62,7 +65,7 @@
     Parameters
     ----------
     planner : LoadPlanner
-        Chooses the loads; this class carries them out.
+        Chooses the loads that this class orders.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         self._client = client
         self._routes = routes
         self._clock = clock
-        self._switching: dict[EndpointRun, asyncio.Task[None]] = {}
+        self._tasks: dict[EndpointRun, asyncio.Task[None]] = {}
         self._orders_taken: dict[EndpointRun, int] = {}
         self._fence = 0
         self._announced: set[EndpointRun] = set()
@@ -93,25 +96,27 @@
         """Give orders until cancelled."""
         try:
             while True:
-                is_on_duty = self._lease.is_valid
-                await asyncio.sleep(LOOK_S if is_on_duty else OFF_DUTY_LOOK_S)
+                is_holder = self._lease.is_valid
+                await asyncio.sleep(
+                    CHECK_PAUSE_S if is_holder else STANDBY_CHECK_PAUSE_S
+                )
                 if self._lease.is_valid:
-                    self._forget_other_terms()
+                    self._reset_for_new_lease()
                     self._start_switches()
-                    self._forget_gone()
+                    self._remove_rows_of_gone_engines()
         finally:
-            for task in self._switching.values():
+            for task in self._tasks.values():
                 task.cancel()
 
-    def _forget_other_terms(self) -> None:
-        # While another host held the lease it gave orders that were not counted here.
+    def _reset_for_new_lease(self) -> None:
+        # Another host that held the lease meanwhile gave orders not counted here.
         if self._fence != self._lease.fence:
             self._fence = self._lease.fence
             self._orders_taken.clear()
             self._planner.forget_assignment()
 
-    def _forget_gone(self) -> None:
-        """Remove what was announced of engines that are no longer listed."""
+    def _remove_rows_of_gone_engines(self) -> None:
+        """Remove the announced rows of engines that are no longer listed."""
         listed = {each.run: each for each in self._directory.all()}
         ended = self._announced - listed.keys()
         self._announced -= ended
@@ -119,15 +124,15 @@
             run: count for run, count in self._orders_taken.items() if run in listed
         }
         for run in ended:
-            # The row of an engine that started again is replaced by its next load.
+            # The next load replaces the row of an engine that restarted.
             if self._directory.get(run.endpoint) is None:
                 task = asyncio.ensure_future(self._announcer.forget(run.endpoint))
-                self._switching[run] = task
-                task.add_done_callback(partial(self._end, run))
+                self._tasks[run] = task
+                task.add_done_callback(partial(self._end_task, run))
 
     def _start_switches(self) -> None:
         for service in self._directory.services():
-            if not self._is_known(service):
+            if not self._is_configured(service):
                 continue
             engines = sorted(
                 (
@@ -138,7 +143,7 @@
                 key=lambda each: each.endpoint.id,
             )
             switching = {
-                each.endpoint.id for each in engines if each.run in self._switching
+                each.endpoint.id for each in engines if each.run in self._tasks
             }
             chosen = self._planner.choose(service, engines, switching)
             loads = {load.engine: load for load in chosen}
@@ -150,11 +155,11 @@
         self, engine: TrackedEndpoint, service: ServiceName, load: ChosenLoad
     ) -> None:
         task = asyncio.ensure_future(self._switch(engine, service, load))
-        self._switching[engine.run] = task
-        task.add_done_callback(partial(self._end, engine.run))
+        self._tasks[engine.run] = task
+        task.add_done_callback(partial(self._end_task, engine.run))
 
-    def _end(self, run: EndpointRun, task: "asyncio.Task[None]") -> None:
-        self._switching.pop(run, None)
+    def _end_task(self, run: EndpointRun, task: "asyncio.Task[None]") -> None:
+        self._tasks.pop(run, None)
         if not task.cancelled() and task.exception() is not None:
             _log.error(
                 "orders: switch failed",
@@ -165,25 +170,30 @@
     async def _switch(
         self, engine: TrackedEndpoint, service: ServiceName, load: ChosenLoad
     ) -> None:
-        """Give one order, and wait until the engine has carried it out."""
+        """Give one order and wait until the engine has loaded the version."""
         endpoint = engine.endpoint
         model = load.model
         expected = self._orders_taken.get(engine.run)
         if expected is None or load.may_wait:
-            state = await self._state_of(engine)
+            state = await self._read_state(engine)
             if state is None:
                 await asyncio.sleep(RETRY_PAUSE_S)
                 return
             expected = state.orders_taken
             self._orders_taken[engine.run] = expected
-            if load.may_wait and state.running >= FULL_SHARE * endpoint.slots:
+            if load.may_wait and state.running >= FULL_SLOT_SHARE * endpoint.slots:
                 self._planner.note_full(endpoint.id)
                 return
-        version = self._planner.named_version(model)
+        version = self._planner.newest_version(model)
         if (engine.version_of(model) or 0) >= version or not self._lease.is_valid:
             return
         order = VersionOrder(
-            model, version, self._mode(service), self._host, self._lease.fence, expected
+            model,
+            version,
+            self._switch_mode(service),
+            self._host,
+            self._lease.fence,
+            expected,
         )
         outcome = await self._client.order(endpoint, order)
         _log.info(
@@ -206,32 +216,35 @@
                 engine.note_version(model, version)
                 await self._announce(engine, EngineVersion(model, version))
             case _:
-                # The count is read anew: it tells whether the order was accepted.
+                # The next attempt reads the engine's count of accepted orders, which
+                # shows whether this order was accepted.
                 self._orders_taken.pop(engine.run, None)
                 await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _wait_loaded(
         self, engine: TrackedEndpoint, model: ModelName, version: ModelVersion
     ) -> None:
-        began = self._clock.monotonic()
-        until = began + LOAD_TIMEOUT_S
+        started_at = self._clock.monotonic()
+        deadline = started_at + LOAD_TIMEOUT_S
         if (usual_load := self._planner.usual_load) is not None:
-            surely = SURELY_LOADING_SHARE * usual_load
-            await asyncio.sleep(surely.total_seconds())
-        while self._clock.monotonic() < until:
-            await asyncio.sleep(STATE_PAUSE_S)
+            unpolled_time = UNPOLLED_LOAD_SHARE * usual_load
+            await asyncio.sleep(unpolled_time.total_seconds())
+        while self._clock.monotonic() < deadline:
+            await asyncio.sleep(STATE_POLL_PAUSE_S)
             if not engine.takes_work:
                 return
-            await self._state_of(engine)
+            await self._read_state(engine)
             if engine.has_ended:
-                return  # the order was meant for the run before
+                return  # the order was for the engine's previous run
             if (engine.version_of(model) or 0) >= version:
-                lasted = timedelta(seconds=self._clock.monotonic() - began)
-                self._planner.note_load(lasted)
+                duration = timedelta(seconds=self._clock.monotonic() - started_at)
+                self._planner.note_load(duration)
                 await self._announce(engine, EngineVersion(model, version))
                 return
         _log.warning(
-            "orders: no effect seen", endpoint=engine.endpoint.id, version=version
+            "orders: version not loaded in time",
+            endpoint=engine.endpoint.id,
+            version=version,
         )
         self._orders_taken.pop(engine.run, None)
 
@@ -241,13 +254,13 @@
         self._announced.add(engine.run)
         await self._announcer.announce(engine.run, state)
 
-    async def _state_of(self, engine: TrackedEndpoint) -> EngineState | None:
-        """Ask an engine for its state and note its versions.
+    async def _read_state(self, engine: TrackedEndpoint) -> EngineState | None:
+        """Ask an engine for its state and record its versions.
 
         Returns
         -------
         EngineState or None
-            None if it does not tell, or tells of another run than that of `engine`.
+            None without an answer, or if another run than that of `engine` answered.
         """
         state = await self._client.state(engine.endpoint)
         if state is None:
@@ -260,12 +273,12 @@
             latest.note_version(model, version)
         return state if latest is engine else None
 
-    def _is_known(self, service: ServiceName) -> bool:
-        """Whether operators named a service: the list may name others."""
+    def _is_configured(self, service: ServiceName) -> bool:
+        """Whether a service is configured: the list may contain other services."""
         table = self._routes()
         return table is None or table.serves(service)
 
-    def _mode(self, service: ServiceName) -> SwitchMode:
+    def _switch_mode(self, service: ServiceName) -> SwitchMode:
         table = self._routes()
         for route in table.routes if table else ():
             serves = any(each.service == service for each in route.services)
--- a/tests/orders/test_announcing.py
+++ b/tests/orders/test_announcing.py
@@ -1,4 +1,4 @@
-"""What owners take from the rows that tell of loads."""
+"""Owners of batches apply the rows that announce loads."""
 
 import msgspec
 import pytest
@@ -25,7 +25,7 @@
     return Row(RowKey(LOADED_TABLE, "", engine), 1, msgspec.json.encode(document))
 
 
-def test_a_load_that_begins_and_one_that_has_ended(announcer, directory, hand_clock):
+def test_rows_tell_when_a_load_begins_and_has_ended(announcer, directory, hand_clock):
     engine = directory.get("e1")
     announcer.take(row({"model": "m", "version": 2, "is_loading": True}))
     assert engine.is_loading("m", hand_clock.monotonic())
@@ -35,7 +35,7 @@
     assert engine.version_of("m") == 2
 
 
-def test_the_begin_of_a_load_that_has_ended_comes_late(
+def test_a_late_row_for_the_begin_of_an_ended_load_is_ignored(
     announcer, directory, hand_clock
 ):
     announcer.take(row({"model": "m", "version": 2}))
@@ -43,13 +43,15 @@
     assert not directory.get("e1").is_loading("m", hand_clock.monotonic())
 
 
-@pytest.mark.parametrize("told", ["soon", {}, {"model": "m", "version": "two"}])
-def test_what_is_not_understood_changes_nothing(announcer, directory, hand_clock, told):
-    announcer.take(row(told))
+@pytest.mark.parametrize("value", ["soon", {}, {"model": "m", "version": "two"}])
+def test_rows_that_cannot_be_decoded_are_ignored(
+    announcer, directory, hand_clock, value
+):
+    announcer.take(row(value))
     engine = directory.get("e1")
     assert engine.version_of("m") == 1
     assert not engine.is_loading("m", hand_clock.monotonic())
 
 
-def test_rows_of_engines_that_are_not_listed_are_passed_over(announcer):
+def test_rows_of_unlisted_engines_are_ignored(announcer):
     announcer.take(row({"model": "m", "version": 2}, engine="gone"))
--- a/tests/orders/test_paces.py
+++ b/tests/orders/test_paces.py
@@ -1,4 +1,4 @@
-"""What owners see of the engines' speed reaches the host that gives orders."""
+"""Paces that owners of batches measure reach the host that gives the orders."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return EnginePaces(store, directory)
 
 
-async def test_what_one_host_sees_another_one_reads(paces, directory, store):
+async def test_a_host_reads_the_pace_that_another_host_wrote(paces, directory, store):
     directory.get("e1").note_event_gap(0.05)
     await paces.tell()
     other = EnginePaces(store, directory)
@@ -32,7 +32,7 @@
     assert other.usual == {"e1": 0.05}
 
 
-async def test_only_changes_are_told(paces, directory, gate):
+async def test_only_changed_paces_are_written(paces, directory, gate):
     directory.get("e1").note_event_gap(0.05)
     await paces.tell()
     told = len(gate.calls)
@@ -45,7 +45,7 @@
     assert len(gate.calls) == told + 1
 
 
-async def test_an_engine_that_is_slow_for_a_while_keeps_its_name(paces, directory):
+async def test_a_short_slowdown_does_not_change_the_usual_gap(paces, directory):
     directory.get("e1").note_event_gap(0.04)
     await paces.tell()
     for _ in range(10):
@@ -70,7 +70,7 @@
     assert paces.usual == {}
 
 
-async def test_without_the_store_nothing_is_known_and_all_is_told_later(
+async def test_paces_are_written_and_read_once_the_store_is_available_again(
     paces, directory, gate
 ):
     directory.get("e1").note_event_gap(0.04)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("told", ["soon", {"gap_s": 0}, {"gap_s": -1.0}, {}])
-async def test_what_cannot_be_a_pace_is_passed_over(paces, directory, rows, told):
+async def test_rows_without_a_valid_pace_are_ignored(paces, directory, rows, told):
     directory.get("e1").note_event_gap(0.04)
     await paces.tell()
     rows.put("paces", "e2", told)
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -1,4 +1,4 @@
-"""Orders to engines that start again under their name."""
+"""Orders to engines that restart under the same name."""
 
 import asyncio
 from itertools import pairwise
@@ -32,7 +32,7 @@
     fence = 7
 
 
-class OpenBatches:
+class OpenBatchesStub:
     """Batches that need the newest version."""
 
     is_loaded = True
@@ -50,13 +50,13 @@
         return 4
 
 
-class Engine:
-    """One engine that starts again; `list_entry` is what the platform lists."""
+class EngineStub:
+    """An engine that can restart; `entry` returns its entry in the platform's list."""
 
     def __init__(self):
         self.born = 5
         self.version = 1
-        self.taken = 0
+        self.orders_taken = 0
         self.orders = []
         self.loading = None
 
@@ -64,8 +64,8 @@
         models = (ModelState("m", self.version),)
         return Endpoint("e", "s", "a:1", "north", 8, models=models, born=self.born)
 
-    def start_again(self, born):
-        self.born, self.version, self.taken = born, 1, 0
+    def restart(self, born):
+        self.born, self.version, self.orders_taken = born, 1, 0
         if self.loading is not None:
             self.loading.cancel()
             self.loading = None
@@ -73,15 +73,15 @@
     async def state(self, endpoint):
         is_busy = self.loading is not None
         versions = {"m": self.version}
-        return EngineState(self.taken, is_busy, versions, 0, self.born)
+        return EngineState(self.orders_taken, is_busy, versions, 0, self.born)
 
     async def order(self, endpoint, order):
         self.orders.append((asyncio.get_running_loop().time(), order))
-        if self.loading is not None or order.expected_orders != self.taken:
+        if self.loading is not None or order.expected_orders != self.orders_taken:
             return OrderOutcome.CONFLICT
         if order.version == self.version:
             return OrderOutcome.ALREADY_SO
-        self.taken += 1
+        self.orders_taken += 1
         loop = asyncio.get_running_loop()
         self.loading = loop.call_later(LOAD_S, self._loaded, order.version)
         return OrderOutcome.ACCEPTED
@@ -90,8 +90,8 @@
         self.version, self.loading = version, None
 
 
-class Announced:
-    """What is told to owners."""
+class AnnouncerStub:
+    """Records the announced rows."""
 
     def __init__(self):
         self.rows = []
@@ -104,67 +104,74 @@
 
 
 @pytest.fixture
-async def switched():
+async def switcher_setup():
     clock = SystemClock()
     directory = EndpointDirectory("north", clock)
-    engine, announced, named = Engine(), Announced(), {"m": 4}
+    engine, announcer_stub, named = EngineStub(), AnnouncerStub(), {"m": 4}
     directory.put(engine.entry())
-    planner = LoadPlanner(named, OpenBatches(), dict, clock)
+    planner = LoadPlanner(named, OpenBatchesStub(), dict, clock)
     switcher = VersionSwitcher(
-        HeldLease(), "h", directory, engine, planner, announced, lambda: None, clock
+        HeldLease(),
+        "h",
+        directory,
+        engine,
+        planner,
+        announcer_stub,
+        lambda: None,
+        clock,
     )
     task = asyncio.ensure_future(switcher.run())
-    yield directory, engine, announced, named
+    yield directory, engine, announcer_stub, named
     task.cancel()
 
 
-async def test_an_engine_that_started_again_is_loaded_anew(switched):
-    directory, engine, _, _ = switched
+async def test_an_engine_that_restarted_loads_the_version_again(switcher_setup):
+    directory, engine, _, _ = switcher_setup
     await until(lambda: engine.version == 4)
     await until(lambda: directory.get("e").version_of("m") == 4)
-    engine.start_again(9)
+    engine.restart(9)
     directory.put(engine.entry())
     await until(lambda: engine.version == 4)
-    assert engine.taken == 1
+    assert engine.orders_taken == 1
 
 
-async def test_a_restart_that_only_an_answer_tells_of(switched):
-    directory, engine, _, named = switched
+async def test_a_restart_is_detected_from_the_state_of_the_engine(switcher_setup):
+    directory, engine, _, named = switcher_setup
     await until(lambda: directory.get("e").version_of("m") == 4)
-    engine.start_again(9)
+    engine.restart(9)
     named["m"] = 5
     await until(lambda: engine.version == 5)
     assert directory.get("e").run.born == 9
 
 
-async def test_a_restart_during_a_load_is_not_taken_for_its_end(switched):
-    directory, engine, announced, _ = switched
+async def test_a_restart_during_a_load_does_not_count_as_its_end(switcher_setup):
+    directory, engine, announcer_stub, _ = switcher_setup
     await until(lambda: engine.loading is not None)
-    engine.start_again(9)
+    engine.restart(9)
     await until(lambda: engine.version == 4)
     await until(lambda: directory.get("e").version_of("m") == 4)
-    assert (5, 4, False) not in announced.rows
-    assert (9, 4, False) in announced.rows
+    assert (5, 4, False) not in announcer_stub.rows
+    assert (9, 4, False) in announcer_stub.rows
 
 
-async def test_two_restarts_within_a_second(switched):
-    directory, engine, _, _ = switched
+async def test_two_restarts_within_a_second(switcher_setup):
+    directory, engine, _, _ = switcher_setup
     await until(lambda: engine.loading is not None)
-    engine.start_again(9)
+    engine.restart(9)
     directory.put(engine.entry())
     await until(lambda: engine.loading is not None)
-    engine.start_again(10)
+    engine.restart(10)
     await until(lambda: engine.version == 4)
     assert directory.get("e").run.born == 10
 
 
-async def test_orders_to_an_engine_that_counts_anew_are_not_repeated_in_a_loop(
-    switched,
+async def test_orders_after_restarts_are_not_repeated_in_a_tight_loop(
+    switcher_setup,
 ):
-    _, engine, _, named = switched
+    _, engine, _, named = switcher_setup
     await until(lambda: engine.version == 4)
     for born in (9, 10, 11):
-        engine.start_again(born)
+        engine.restart(born)
         named["m"] += 1
         await until(lambda: engine.version == named["m"])
     times = [at for at, _ in engine.orders]
@@ -176,36 +183,36 @@
 @pytest.fixture
 def directory(hand_clock):
     directory = EndpointDirectory("north", hand_clock)
-    directory.put(Engine().entry())
+    directory.put(EngineStub().entry())
     return directory
 
 
-def loaded(**state):
+def loaded_row(**state):
     document = {"model": "m", "version": 3, **state}
     return Row(RowKey(LOADED_TABLE, "", "e"), 1, msgspec.json.encode(document))
 
 
-def test_owners_pass_over_what_was_told_of_an_earlier_run(directory, hand_clock):
+def test_rows_of_an_earlier_run_are_ignored(directory, hand_clock):
     announcer = LoadAnnouncer(None, directory, hand_clock)
-    announcer.take(loaded(born=4))
-    announcer.take(loaded())
+    announcer.take(loaded_row(born=4))
+    announcer.take(loaded_row())
     assert directory.get("e").version_of("m") == 1
-    announcer.take(loaded(born=5))
+    announcer.take(loaded_row(born=5))
     assert directory.get("e").version_of("m") == 3
 
 
-def test_owners_learn_of_a_later_run_from_what_is_told(directory, hand_clock):
+def test_a_row_of_a_later_run_reveals_the_restart(directory, hand_clock):
     announcer = LoadAnnouncer(None, directory, hand_clock)
-    announcer.take(loaded(born=9, is_loading=True))
+    announcer.take(loaded_row(born=9, is_loading=True))
     engine = directory.get("e")
     assert engine.run.born == 9
     assert engine.is_loading("m", hand_clock.monotonic())
-    announcer.take(loaded(born=9))
+    announcer.take(loaded_row(born=9))
     assert engine.version_of("m") == 3
 
 
-class PaceRows:
-    """The store, as far as paces need it."""
+class StoreStub:
+    """The part of the store that paces need."""
 
     def __init__(self):
         self.rows = {}
@@ -220,13 +227,13 @@
 
 
 async def test_the_pace_of_an_earlier_run_is_forgotten(directory):
-    paces = EnginePaces(PaceRows(), directory)
+    paces = EnginePaces(StoreStub(), directory)
     directory.get("e").note_event_gap(0.5)
     await paces.tell()
     await paces.look()
     assert paces.usual == {"e": 0.5}
-    again = Engine()
-    again.start_again(9)
-    directory.put(again.entry())
+    restarted = EngineStub()
+    restarted.restart(9)
+    directory.put(restarted.entry())
     await paces.look()
     assert paces.usual == {}
