--- a/src/bankrudder/orders/_announcing.py
+++ b/src/bankrudder/orders/_announcing.py
@@ -88,7 +88,7 @@
             return None
         return engine
 
-    async def forget(self, engine: EndpointId) -> None:
+    async def remove_row(self, engine: EndpointId) -> None:
         """Remove the row of an engine that is no longer listed."""
         key = RowKey(LOADED_TABLE, "", engine)
         await self._store.commit(Transaction(removals=(key,)))
--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -150,9 +150,9 @@
             # the other models.
             return []
         self._assign(service, engines)
-        most = max(MIN_LOADING_LIMIT, math.floor(MAX_LOADING_SHARE * len(engines)))
+        limit = max(MIN_LOADING_LIMIT, math.floor(MAX_LOADING_SHARE * len(engines)))
         engine_loads = self._engine_loads(service, engines, loading)
-        return choose_loads(engine_loads, self._demands(), most, self._usual_load)
+        return choose_loads(engine_loads, self._demands(), limit, self._usual_load)
 
     def _engine_loads(
         self,
@@ -195,11 +195,11 @@
         if previous is None:
             versions = {each.endpoint.id: each.versions for each in engines}
             previous = followed_models(versions, self._newest_versions)
-        most = self._most_engines(models, engines)
+        limit = self._max_engines(models, engines)
         names = [each.endpoint.id for each in engines]
         gaps = self._usual_gaps()
         open_times = self._open_batches.open_seconds()
-        assignment = assign_engines(names, shares, previous, most, gaps, open_times)
+        assignment = assign_engines(names, shares, previous, limit, gaps, open_times)
         if assignment != self._assigned.get(service):
             self._assigned[service] = assignment
             _log.info(
@@ -211,7 +211,7 @@
                 open_seconds={key: round(each, 2) for key, each in open_times.items()},
             )
 
-    def _most_engines(
+    def _max_engines(
         self, models: Collection[ModelName], engines: Sequence[TrackedEndpoint]
     ) -> dict[ModelName, int]:
         """Return how many engines the samples of each model can use, where known."""
--- a/src/bankrudder/orders/_switching.py
+++ b/src/bankrudder/orders/_switching.py
@@ -126,7 +126,7 @@
         for run in ended:
             # The next load replaces the row of an engine that restarted.
             if self._directory.get(run.endpoint) is None:
-                task = asyncio.ensure_future(self._announcer.forget(run.endpoint))
+                task = asyncio.ensure_future(self._announcer.remove_row(run.endpoint))
                 self._tasks[run] = task
                 task.add_done_callback(partial(self._end_task, run))
 
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -99,7 +99,7 @@
     async def announce(self, run, state):
         self.rows.append((run.born, state.version, state.is_loading))
 
-    async def forget(self, engine):
+    async def remove_row(self, engine):
         pass
 
 
--- a/tests/orders/test_switching.py
+++ b/tests/orders/test_switching.py
@@ -76,7 +76,7 @@
         asyncio.get_running_loop().call_later(LOAD_S, self._loaded, endpoint.id, order)
         return OrderOutcome.ACCEPTED
 
-    async def forget(self, engine):
+    async def remove_row(self, engine):
         self.forgotten.append(engine)
 
     async def announce(self, run, state):
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -16,7 +16,7 @@
     is_home=False,
     is_connected=False,
     is_trusted=True,
-    has_suspects=False,
+    is_suspect=False,
 ):
     return EngineView(
         pace=pace,
@@ -24,7 +24,7 @@
         is_home=is_home,
         is_connected=is_connected,
         is_trusted=is_trusted,
-        has_suspects=has_suspects,
+        has_suspects=is_suspect,
     )
 
 
@@ -79,7 +79,7 @@
     assert placement_order(home) < placement_order(view(pace=pace))
 
 
-@pytest.mark.parametrize("flag", [{"is_trusted": False}, {"has_suspects": True}])
+@pytest.mark.parametrize("flag", [{"is_trusted": False}, {"is_suspect": True}])
 def test_an_untrusted_or_suspect_engine_comes_last(flag):
     suspect = view(is_home=True, is_connected=True, **flag)
     assert placement_order(view(pace=4.0, taken=7)) < placement_order(suspect)
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -61,7 +61,7 @@
         )
         self.table = RoutingTable(RoutingConfiguration(1, (), services))
         duty = Duty("supply", self.platform, self.lease, "a", 1e6, clock)
-        self.keeper = SupplyKeeper(
+        self.scaler = SupplyKeeper(
             duty,
             lambda: self.table,
             self.directory,
@@ -73,7 +73,7 @@
     async def look(self):
         """Check once; return the counts that were ordered, by data centre."""
         before = len(self.platform.orders)
-        await self.keeper.look()
+        await self.scaler.look()
         orders = self.platform.orders[before:]
         assert all(isinstance(each, EndpointOrder) for each in orders)
         assert all(each.service == "engines" for each in orders)
