--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -203,11 +203,11 @@
     ) -> EngineView:
         return EngineView(
             pace=(each.event_gap_s or usual_s) / usual_s,
-            occupied=each.in_flight / each.endpoint.slots,
-            is_home=(group, each.run) in self._group_homes,
+            occupied_share=each.in_flight / each.endpoint.slots,
+            has_cached_prompt=(group, each.run) in self._group_homes,
             is_connected=each.is_connected(self._clock.monotonic()),
             is_trusted=each.is_trusted,
-            has_suspects=each.suspects > 0,
+            runs_suspect_sample=each.suspects > 0,
         )
 
     def _usable(self, demand: SlotDemand) -> list[TrackedEndpoint]:
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_parts.py
@@ -154,9 +154,9 @@
         while True:
             await asyncio.sleep(PACES_PAUSE_S)
             if self.batches.running_count:
-                await self._paces.tell()
+                await self._paces.write_changed()
             if self.lease.is_valid:
-                await self._paces.look()
+                await self._paces.read_all()
 
     def cleaning(self) -> dict[str, Work]:
         """Return what removes old rows, by what it removes."""
@@ -278,7 +278,7 @@
             self.store,
             LOADED_TABLE,
             self._clock,
-            on_row=self._announcer.take,
+            on_row=self._announcer.apply_row,
             on_removed=lambda _: None,
         )
 
@@ -286,7 +286,7 @@
         planner = LoadPlanner(
             self.view.named_versions,
             self.batches.owners,
-            lambda: self._paces.usual,
+            lambda: self._paces.usual_gaps,
             self._clock,
         )
         return VersionSwitcher(
--- a/src/bankrudder/node/_supply.py
+++ b/src/bankrudder/node/_supply.py
@@ -9,7 +9,7 @@
 from bankrudder.leases import Lease, repeat_on_duty
 from bankrudder.node._settings import DutySettings, NodeSettings
 from bankrudder.routing import RoutingTable
-from bankrudder.supply import SUPPLY_PAUSE_S, SupplyKeeper
+from bankrudder.supply import SUPPLY_PAUSE_S, EngineScaler
 from bankrudder.world import Clock
 
 SUPPLY_LEASE = "supply"
@@ -32,7 +32,7 @@
         self.lease = lease
         self._routes = routes
         duty = Duty(SUPPLY_LEASE, api, lease, settings.host, duties.calls_per_s, clock)
-        self._keeper = SupplyKeeper(
+        self._keeper = EngineScaler(
             duty, routes, directory, owners, lambda: lease.fence, clock
         )
 
@@ -58,5 +58,5 @@
             "orders of endpoints",
             lambda: self.lease.is_valid,
             SUPPLY_PAUSE_S,
-            self._keeper.look,
+            self._keeper.order_engines,
         )
--- a/src/bankrudder/orders/_announcing.py
+++ b/src/bankrudder/orders/_announcing.py
@@ -58,7 +58,7 @@
         if not isinstance(outcome, Committed):
             _log.info("orders: load not announced", endpoint=run.endpoint)
 
-    def take(self, row: Row) -> None:
+    def apply_row(self, row: Row) -> None:
         """Apply a row that the host that gave the order has written."""
         try:
             state = msgspec.json.decode(row.value, type=EngineVersion)
--- a/src/bankrudder/orders/_paces.py
+++ b/src/bankrudder/orders/_paces.py
@@ -67,11 +67,11 @@
         self._observed: dict[EndpointRun, deque[float]] = {}
 
     @property
-    def usual(self) -> dict[EndpointId, float]:
+    def usual_gaps(self) -> dict[EndpointId, float]:
         """Usual seconds between events, by engine, where known."""
         return {run.endpoint: median(gaps) for run, gaps in self._observed.items()}
 
-    async def tell(self) -> None:
+    async def write_changed(self) -> None:
         """Write the paces that changed. After a failure the next call tries again."""
         changed = {
             each.run: each.event_gap_s
@@ -92,7 +92,7 @@
         if isinstance(outcome, Committed):
             self._written.update(changed)
 
-    async def look(self) -> None:
+    async def read_all(self) -> None:
         """Read the paces of all owners, and remove the rows of unlisted engines."""
         try:
             page = await self._store.read(PACES_TABLE, "")
--- a/src/bankrudder/platform/_documents.py
+++ b/src/bankrudder/platform/_documents.py
@@ -247,7 +247,7 @@
             WeightedService(ServiceName(each.service), each.weight) for each in shares
         ),
         timeout_s=wire.timeout_ms / 1000,
-        target_s=wire.target_latency_ms / 1000,
+        target_latency_s=wire.target_latency_ms / 1000,
         result_target_s=wire.result_target_ms / 1000,
         retention_s=wire.retention_s,
         max_attempts=max(wire.max_attempts, 1),
--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -232,7 +232,7 @@
     def _hedge_s(self) -> float:
         usual_s = self._directory.usual_latency_s(self._service)
         usual = None if usual_s is None else timedelta(seconds=usual_s)
-        target = timedelta(seconds=self._route.target_s)
+        target = timedelta(seconds=self._route.target_latency_s)
         return hedge_after(target, usual).total_seconds()
 
     async def _take(self, outcome: SendOutcome, send: Send) -> Relayed | None:
--- a/src/bankrudder/routing/_values.py
+++ b/src/bankrudder/routing/_values.py
@@ -43,7 +43,7 @@
         Target services, at least one.
     timeout_s : float
         Longest time that a caller may wait for a response.
-    target_s : float
+    target_latency_s : float
         Latency within which a response is most useful.
     result_target_s : float
         Time within which all results of a batch are due; 0 if the route is not a
@@ -70,7 +70,7 @@
     kind: RouteKind
     services: tuple[WeightedService, ...]
     timeout_s: float
-    target_s: float
+    target_latency_s: float
     result_target_s: float = 0.0
     retention_s: float = 0.0
     max_attempts: int = 1
--- a/src/bankrudder/scheduling/_placement.py
+++ b/src/bankrudder/scheduling/_placement.py
@@ -39,25 +39,25 @@
     ----------
     pace : float
         Time between events on the engine, as a multiple of the usual time.
-    occupied : float
+    occupied_share : float
         Share of the engine's slots that samples of this host take, from 0 to 1.
-    is_home : bool
+    has_cached_prompt : bool
         Whether the engine has already processed the prompt of the sample's group.
     is_connected : bool
         Whether this host has an open, idle connection to the engine.
     is_trusted : bool
         Whether the engine has responded since it last failed.
-    has_suspects : bool
+    runs_suspect_sample : bool
         Whether the engine runs a sample that was running on engines when they crashed,
         and so may crash as well.
     """
 
     pace: float
-    occupied: float
-    is_home: bool
+    occupied_share: float
+    has_cached_prompt: bool
     is_connected: bool
     is_trusted: bool
-    has_suspects: bool
+    runs_suspect_sample: bool
 
 
 PlacementOrder = tuple[bool, bool, float, float]
@@ -65,8 +65,15 @@
 
 def placement_order(engine: EngineView) -> PlacementOrder:
     """Return the sort key of an engine: the engine with the smallest key goes first."""
-    pace = engine.pace / CACHED_PROMPT_FACTOR if engine.is_home else engine.pace
-    rating = round(PACE_STEPS * pace) + FULL_ENGINE_COST * engine.occupied
+    pace = (
+        engine.pace / CACHED_PROMPT_FACTOR if engine.has_cached_prompt else engine.pace
+    )
+    rating = round(PACE_STEPS * pace) + FULL_ENGINE_COST * engine.occupied_share
     if not engine.is_connected:
         rating += NEW_CONNECTION_COST
-    return (not engine.is_trusted, engine.has_suspects, rating, engine.occupied)
+    return (
+        not engine.is_trusted,
+        engine.runs_suspect_sample,
+        rating,
+        engine.occupied_share,
+    )
--- a/src/bankrudder/supply/_keeping.py
+++ b/src/bankrudder/supply/_keeping.py
@@ -39,7 +39,7 @@
     data_centre: DataCentreName
 
 
-class SupplyKeeper:
+class EngineScaler:
     """Orders engines while this host holds the duty.
 
     Parameters
@@ -70,7 +70,7 @@
         self._peaks: dict[_OrderScope, PeakNeed] = {}
         self._unavailable_until: dict[_OrderScope, float] = {}
 
-    async def look(self) -> None:
+    async def order_engines(self) -> None:
         """Order the engines that are needed now and were not ordered yet."""
         table = self._routes()
         if table is None or not self._owners.is_loaded:
--- a/tests/orders/test_announcing.py
+++ b/tests/orders/test_announcing.py
@@ -27,10 +27,10 @@
 
 def test_rows_tell_when_a_load_begins_and_has_ended(announcer, directory, hand_clock):
     engine = directory.get("e1")
-    announcer.take(row({"model": "m", "version": 2, "is_loading": True}))
+    announcer.apply_row(row({"model": "m", "version": 2, "is_loading": True}))
     assert engine.is_loading("m", hand_clock.monotonic())
     assert engine.version_of("m") == 1
-    announcer.take(row({"model": "m", "version": 2}))
+    announcer.apply_row(row({"model": "m", "version": 2}))
     assert not engine.is_loading("m", hand_clock.monotonic())
     assert engine.version_of("m") == 2
 
@@ -38,8 +38,8 @@
 def test_a_late_row_for_the_begin_of_an_ended_load_is_ignored(
     announcer, directory, hand_clock
 ):
-    announcer.take(row({"model": "m", "version": 2}))
-    announcer.take(row({"model": "m", "version": 2, "is_loading": True}))
+    announcer.apply_row(row({"model": "m", "version": 2}))
+    announcer.apply_row(row({"model": "m", "version": 2, "is_loading": True}))
     assert not directory.get("e1").is_loading("m", hand_clock.monotonic())
 
 
@@ -47,11 +47,11 @@
 def test_rows_that_cannot_be_decoded_are_ignored(
     announcer, directory, hand_clock, value
 ):
-    announcer.take(row(value))
+    announcer.apply_row(row(value))
     engine = directory.get("e1")
     assert engine.version_of("m") == 1
     assert not engine.is_loading("m", hand_clock.monotonic())
 
 
 def test_rows_of_unlisted_engines_are_ignored(announcer):
-    announcer.take(row({"model": "m", "version": 2}, engine="gone"))
+    announcer.apply_row(row({"model": "m", "version": 2}, engine="gone"))
--- a/tests/orders/test_paces.py
+++ b/tests/orders/test_paces.py
@@ -26,48 +26,48 @@
 
 async def test_a_host_reads_the_pace_that_another_host_wrote(paces, directory, store):
     directory.get("e1").note_event_gap(0.05)
-    await paces.tell()
+    await paces.write_changed()
     other = EnginePaces(store, directory)
-    await other.look()
-    assert other.usual == {"e1": 0.05}
+    await other.read_all()
+    assert other.usual_gaps == {"e1": 0.05}
 
 
 async def test_only_changed_paces_are_written(paces, directory, gate):
     directory.get("e1").note_event_gap(0.05)
-    await paces.tell()
+    await paces.write_changed()
     told = len(gate.calls)
     directory.get("e1").note_event_gap(0.052)
-    await paces.tell()
+    await paces.write_changed()
     assert len(gate.calls) == told
     for _ in range(20):
         directory.get("e1").note_event_gap(0.1)
-    await paces.tell()
+    await paces.write_changed()
     assert len(gate.calls) == told + 1
 
 
 async def test_a_short_slowdown_does_not_change_the_usual_gap(paces, directory):
     directory.get("e1").note_event_gap(0.04)
-    await paces.tell()
+    await paces.write_changed()
     for _ in range(10):
-        await paces.look()
+        await paces.read_all()
     for _ in range(40):
         directory.get("e1").note_event_gap(0.12)
-    await paces.tell()
+    await paces.write_changed()
     for _ in range(8):
-        await paces.look()
-    assert paces.usual["e1"] == 0.04
+        await paces.read_all()
+    assert paces.usual_gaps["e1"] == 0.04
     for _ in range(8):
-        await paces.look()
-    assert paces.usual["e1"] > 0.1
+        await paces.read_all()
+    assert paces.usual_gaps["e1"] > 0.1
 
 
 async def test_rows_of_engines_that_are_gone_are_removed(paces, directory, rows):
     directory.get("e1").note_event_gap(0.04)
-    await paces.tell()
+    await paces.write_changed()
     directory.remove("e1", 0.0)
-    await paces.look()
+    await paces.read_all()
     assert not rows.rows
-    assert paces.usual == {}
+    assert paces.usual_gaps == {}
 
 
 async def test_paces_are_written_and_read_once_the_store_is_available_again(
@@ -75,19 +75,19 @@
 ):
     directory.get("e1").note_event_gap(0.04)
     gate.mode = GateMode.BUSY
-    await paces.tell()
-    await paces.look()
-    assert paces.usual == {}
+    await paces.write_changed()
+    await paces.read_all()
+    assert paces.usual_gaps == {}
     gate.mode = GateMode.OPEN
-    await paces.tell()
-    await paces.look()
-    assert paces.usual == {"e1": 0.04}
+    await paces.write_changed()
+    await paces.read_all()
+    assert paces.usual_gaps == {"e1": 0.04}
 
 
 @pytest.mark.parametrize("told", ["soon", {"gap_s": 0}, {"gap_s": -1.0}, {}])
 async def test_rows_without_a_valid_pace_are_ignored(paces, directory, rows, told):
     directory.get("e1").note_event_gap(0.04)
-    await paces.tell()
+    await paces.write_changed()
     rows.put("paces", "e2", told)
-    await paces.look()
-    assert paces.usual == {"e1": 0.04}
+    await paces.read_all()
+    assert paces.usual_gaps == {"e1": 0.04}
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -194,20 +194,20 @@
 
 def test_rows_of_an_earlier_run_are_ignored(directory, hand_clock):
     announcer = LoadAnnouncer(None, directory, hand_clock)
-    announcer.take(loaded_row(born=4))
-    announcer.take(loaded_row())
+    announcer.apply_row(loaded_row(born=4))
+    announcer.apply_row(loaded_row())
     assert directory.get("e").version_of("m") == 1
-    announcer.take(loaded_row(born=5))
+    announcer.apply_row(loaded_row(born=5))
     assert directory.get("e").version_of("m") == 3
 
 
 def test_a_row_of_a_later_run_reveals_the_restart(directory, hand_clock):
     announcer = LoadAnnouncer(None, directory, hand_clock)
-    announcer.take(loaded_row(born=9, is_loading=True))
+    announcer.apply_row(loaded_row(born=9, is_loading=True))
     engine = directory.get("e")
     assert engine.run.born == 9
     assert engine.is_loading("m", hand_clock.monotonic())
-    announcer.take(loaded_row(born=9))
+    announcer.apply_row(loaded_row(born=9))
     assert engine.version_of("m") == 3
 
 
@@ -229,11 +229,11 @@
 async def test_the_pace_of_an_earlier_run_is_forgotten(directory):
     paces = EnginePaces(StoreStub(), directory)
     directory.get("e").note_event_gap(0.5)
-    await paces.tell()
-    await paces.look()
-    assert paces.usual == {"e": 0.5}
+    await paces.write_changed()
+    await paces.read_all()
+    assert paces.usual_gaps == {"e": 0.5}
     restarted = EngineStub()
     restarted.restart(9)
     directory.put(restarted.entry())
-    await paces.look()
-    assert paces.usual == {}
+    await paces.read_all()
+    assert paces.usual_gaps == {}
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -13,18 +13,18 @@
     *,
     pace=1.0,
     taken=0,
-    is_home=False,
+    has_cached_prompt=False,
     is_connected=False,
     is_trusted=True,
     is_suspect=False,
 ):
     return EngineView(
         pace=pace,
-        occupied=taken / SLOTS,
-        is_home=is_home,
+        occupied_share=taken / SLOTS,
+        has_cached_prompt=has_cached_prompt,
         is_connected=is_connected,
         is_trusted=is_trusted,
-        has_suspects=is_suspect,
+        runs_suspect_sample=is_suspect,
     )
 
 
@@ -75,11 +75,11 @@
 
 @pytest.mark.parametrize("pace", [0.8, 1.0, 4.0])
 def test_an_engine_with_the_cached_prompt_goes_first_among_equals(pace):
-    home = view(pace=pace, is_home=True)
+    home = view(pace=pace, has_cached_prompt=True)
     assert placement_order(home) < placement_order(view(pace=pace))
 
 
 @pytest.mark.parametrize("flag", [{"is_trusted": False}, {"is_suspect": True}])
 def test_an_untrusted_or_suspect_engine_comes_last(flag):
-    suspect = view(is_home=True, is_connected=True, **flag)
+    suspect = view(has_cached_prompt=True, is_connected=True, **flag)
     assert placement_order(view(pace=4.0, taken=7)) < placement_order(suspect)
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -11,7 +11,7 @@
     Service,
 )
 from bankrudder.scheduling._supply import PEAK_PERIOD
-from bankrudder.supply import SupplyKeeper
+from bankrudder.supply import EngineScaler
 from bankrudder.supply._keeping import UNAVAILABLE_RETRY_S
 
 SCALING = Scaling(1, 11, {"north": 1.0, "south": 0.8})
@@ -61,7 +61,7 @@
         )
         self.table = RoutingTable(RoutingConfiguration(1, (), services))
         duty = Duty("supply", self.platform, self.lease, "a", 1e6, clock)
-        self.scaler = SupplyKeeper(
+        self.scaler = EngineScaler(
             duty,
             lambda: self.table,
             self.directory,
@@ -70,10 +70,10 @@
             clock,
         )
 
-    async def look(self):
+    async def order_engines(self):
         """Check once; return the counts that were ordered, by data centre."""
         before = len(self.platform.orders)
-        await self.scaler.look()
+        await self.scaler.order_engines()
         orders = self.platform.orders[before:]
         assert all(isinstance(each, EndpointOrder) for each in orders)
         assert all(each.service == "engines" for each in orders)
@@ -86,70 +86,70 @@
 
 
 async def test_without_samples_nothing_is_ordered(supply):
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
 
 
 async def test_nothing_is_ordered_before_the_owner_book_is_loaded(supply):
     supply.owners.samples = {"m0": 80}
     supply.owners.is_loaded = False
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
 
 
 async def test_nothing_is_ordered_for_a_service_without_scaling(hand_clock):
     supply = ScaledService(hand_clock, scaling=None)
     supply.owners.samples = {"m0": 80}
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
 
 
 async def test_engines_for_the_samples_are_ordered_once(supply):
     supply.owners.samples = {"m0": 80}
-    assert await supply.look() == {"north": 6, "south": 6}
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {"north": 6, "south": 6}
+    assert await supply.order_engines() == {}
 
 
 async def test_an_order_of_unknown_outcome_is_repeated_with_the_same_count(supply):
     supply.owners.samples = {"m0": 80}
     supply.platform.outcomes = [DutyOutcome.UNKNOWN, DutyOutcome.DONE]
-    first = await supply.look()
-    again = await supply.look()
+    first = await supply.order_engines()
+    again = await supply.order_engines()
     assert first == {"north": 6, "south": 6}
     assert list(again.values()) == [6]
 
 
 async def test_the_next_lease_holder_orders_the_same_counts(supply):
     supply.owners.samples = {"m0": 80}
-    first = await supply.look()
+    first = await supply.order_engines()
     supply.lease.fence = 9
-    assert await supply.look() == first
+    assert await supply.order_engines() == first
 
 
 async def test_a_data_centre_without_engines_is_retried_after_a_pause(supply):
     supply.owners.samples = {"m0": 80}
     supply.platform.outcomes = [DutyOutcome.REFUSED]
-    refused = next(iter(await supply.look()))
+    refused = next(iter(await supply.order_engines()))
     other = {"north": "south", "south": "north"}[refused]
-    assert (await supply.look())[other] == 11
+    assert (await supply.order_engines())[other] == 11
     supply.clock.advance(UNAVAILABLE_RETRY_S + 0.1)
-    assert (await supply.look())[refused] == 6
+    assert (await supply.order_engines())[refused] == 6
 
 
 async def test_a_new_lease_holder_does_not_scale_down_before_a_whole_period(supply):
     """A new lease holder may at first know the samples of only one trainer."""
     supply.owners.samples = {"m0": 1}
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
     supply.clock.advance(50.0)
     supply.lease.fence = 9
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
     supply.clock.advance(50.0)
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
     supply.clock.advance(PEAK_PERIOD.total_seconds())
-    assert await supply.look() == {"north": 1}
+    assert await supply.order_engines() == {"north": 1}
 
 
 async def test_engines_are_not_moved_between_data_centres_to_even_them_out(supply):
     supply.directory.put(Endpoint("e9", "engines", "127.0.0.1:9", "south", 8))
     supply.owners.samples = {"m0": 24}
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
 
 
 async def test_engines_beyond_the_upper_bound_are_not_removed_at_once(supply):
@@ -160,12 +160,12 @@
         )
         supply.directory.put(engine)
     supply.owners.samples = {"m0": 800}
-    assert await supply.look() == {"south": 11}
+    assert await supply.order_engines() == {"south": 11}
     supply.clock.advance(PEAK_PERIOD.total_seconds() + 1)
-    assert await supply.look() == {"north": 11}
+    assert await supply.order_engines() == {"north": 11}
 
 
 async def test_nothing_is_ordered_without_the_lease(supply):
     supply.owners.samples = {"m0": 80}
     supply.lease.left_s = 0.0
-    assert await supply.look() == {}
+    assert await supply.order_engines() == {}
