--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -235,7 +235,7 @@
     def _hedge_delay_s(self) -> float:
         mean_s = self._directory.mean_latency_s(self._service)
         mean_latency = None if mean_s is None else timedelta(seconds=mean_s)
-        target = timedelta(seconds=self._route.target_s)
+        target = timedelta(seconds=self._route.target_latency_s)
         return hedge_delay(target, mean_latency).total_seconds()
 
     async def _handle_outcome(self, outcome: SendOutcome, send: Send) -> Relayed | None:
