--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -7,8 +7,8 @@
 import structlog
 
 from bankrudder.batches._dispatcher import Dispatcher, SlotDemand
+from bankrudder.batches._event_timeout import opened, silence_s, timed
 from bankrudder.batches._failures import SampleFailedError, StaleWeightsError
-from bankrudder.batches._silence import opened, silence_s, timed
 from bankrudder.batches._text import SampleText, fits
 from bankrudder.batches._values import Batch, Progress, Sample
 from bankrudder.crashes import Admission, CrashGuard, Send, content_id
--- a/tests/batches/test_silence.py
+++ b/tests/batches/test_event_timeout.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bankrudder.batches._silence import (
+from bankrudder.batches._event_timeout import (
     LEAST_SILENCE_S,
     MOST_SILENCE_S,
     SILENT_GAPS,
