--- a/src/bankrudder/batches/_carried.py
+++ b/src/bankrudder/batches/_carried.py
@@ -25,9 +25,9 @@
 
     def note(self, batch: Batch) -> frozenset[SampleId]:
         """Remember a batch; return those of its samples that earlier ones had."""
-        names = frozenset(sample.id for sample in batch.samples)
+        sample_ids = frozenset(sample.id for sample in batch.samples)
         latest = self._latest.setdefault(batch.model, deque(maxlen=REMEMBERED_BATCHES))
-        earlier = [known for batch_id, known in latest if batch_id != batch.id]
+        earlier_ids = [known for batch_id, known in latest if batch_id != batch.id]
         if all(batch_id != batch.id for batch_id, _ in latest):
-            latest.append((batch.id, names))
-        return names & frozenset().union(*earlier)
+            latest.append((batch.id, sample_ids))
+        return sample_ids & frozenset().union(*earlier_ids)
--- a/src/bankrudder/batches/_cleaning.py
+++ b/src/bankrudder/batches/_cleaning.py
@@ -32,14 +32,14 @@
 """Time after which a batch that its trainer never ended is ended for it: nine times as
 long as the largest steps may take."""
 
-MARGIN_S = 30.0
+RETENTION_MARGIN_S = 30.0
 """Time beyond the retention for which a batch is kept, for late readers."""
 
-SEEN_TABLE = "cleaning"
+FIRST_SEEN_TABLE = "cleaning"
 """Part: batch, ``open/BATCH`` or ``progress/MODEL``; one row that tells when it was
 first found to be ended, or open, in seconds of the store's clock."""
 
-_SEEN_KEY = "ended"
+_FIRST_SEEN_KEY = "ended"
 
 _log = structlog.get_logger("batches")
 
@@ -66,7 +66,7 @@
         self._store = store
         self._repository = repository
         self._lease = lease
-        self._kept_s = retention_s + MARGIN_S
+        self._min_age_s = retention_s + RETENTION_MARGIN_S
 
     async def clean(self) -> None:
         """Look through the store once."""
@@ -74,33 +74,35 @@
         if now_s is None:
             return
         open_batches = set(await self._store.parts(OWNERS_TABLE))
-        kept = await self._store.parts(BATCHES_TABLE)
-        ended = [name for name in kept if name not in open_batches]
+        stored = await self._store.parts(BATCHES_TABLE)
+        ended = [name for name in stored if name not in open_batches]
         for name in ended:
             if self._lease.is_valid and await self._is_due(name, now_s):
-                await self._repository.forget(BatchId(name))
-                await self._forget_seen(name)
-                await self._forget_seen(f"open/{name}")
+                await self._repository.delete(BatchId(name))
+                await self._clear_first_seen(name)
+                await self._clear_first_seen(f"open/{name}")
                 _log.info("batches: removed after retention", batch=name)
         for name in sorted(open_batches):
-            await self._clean_open(name, now_s)
+            await self._end_abandoned(name, now_s)
         for model in await self._store.parts(PROGRESS_TABLE):
             await self._clean_progress(model, now_s)
 
-    async def _clean_open(self, name: str, now_s: float) -> None:
+    async def _end_abandoned(self, name: str, now_s: float) -> None:
         """End a batch that has been open for too long; its trainer must be gone."""
-        mark = f"open/{name}"
-        if not self._lease.is_valid or not await self._is_due(mark, now_s, MAX_OPEN_S):
+        open_part = f"open/{name}"
+        if not self._lease.is_valid or not await self._is_due(
+            open_part, now_s, MAX_OPEN_S
+        ):
             return
         try:
             await self._repository.end(BatchId(name))
         except NotSettledError:
             return  # looked at again next time
-        await self._forget_seen(mark)
+        await self._clear_first_seen(open_part)
         _log.warning("batches: ended for a trainer that did not", batch=name)
 
     async def _store_time(self) -> float | None:
-        key = RowKey(SEEN_TABLE, "clock", "clock")
+        key = RowKey(FIRST_SEEN_TABLE, "clock", "clock")
         outcome = await self._store.commit(Transaction(puts=(Put(key, b"{}"),)))
         match outcome:
             case Committed(store_time_s=now_s):
@@ -109,21 +111,21 @@
                 return None
 
     async def _is_due(
-        self, name: str, now_s: float, kept_s: float | None = None
+        self, name: str, now_s: float, min_age_s: float | None = None
     ) -> bool:
         """Whether something has been so for long enough; notes it at first."""
-        kept_s = self._kept_s if kept_s is None else kept_s
-        page = await self._store.read(SEEN_TABLE, name)
+        min_age_s = self._min_age_s if min_age_s is None else min_age_s
+        page = await self._store.read(FIRST_SEEN_TABLE, name)
         if page.rows:
             seen = msgspec.json.decode(page.rows[0].value, type=FirstSeen)
-            return now_s - seen.store_time_s >= kept_s
+            return now_s - seen.store_time_s >= min_age_s
         value = msgspec.json.encode(FirstSeen(now_s))
-        put = Put(RowKey(SEEN_TABLE, name, _SEEN_KEY), value)
+        put = Put(RowKey(FIRST_SEEN_TABLE, name, _FIRST_SEEN_KEY), value)
         await self._store.commit(Transaction(puts=(put,)))
         return False
 
-    async def _forget_seen(self, name: str) -> None:
-        key = RowKey(SEEN_TABLE, name, _SEEN_KEY)
+    async def _clear_first_seen(self, name: str) -> None:
+        key = RowKey(FIRST_SEEN_TABLE, name, _FIRST_SEEN_KEY)
         await self._store.commit(Transaction(removals=(key,)))
 
     async def _clean_progress(self, model: str, now_s: float) -> None:
@@ -131,7 +133,7 @@
         page = await self._store.read(PROGRESS_TABLE, model, limit=500)
         name = f"progress/{model}"
         newest = max((row.version for row in page.rows), default=0)
-        seen = await self._store.read(SEEN_TABLE, name)
+        seen = await self._store.read(FIRST_SEEN_TABLE, name)
         if page.rows and seen.rows and newest < seen.rows[0].version:
             if not await self._is_due(name, now_s):
                 return
@@ -139,5 +141,5 @@
             await remove_all(self._store, keys)
             _log.info("batches: old progress removed", model=model, samples=len(keys))
         if page.rows:
-            await self._forget_seen(name)
+            await self._clear_first_seen(name)
             await self._is_due(name, now_s)
--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -11,7 +11,7 @@
 from bankrudder.scheduling import EngineView, is_worth_moving, placement_order
 from bankrudder.world import Clock, DataCentreName, GroupId, ModelVersion, SampleId
 
-RECHECK_S = 0.05
+RECHECK_INTERVAL_S = 0.05
 """While samples wait, the engines are looked at this often, for changes that no
 sample brings about. As often, all engines are searched for those with fresh enough
 weights: a search for each sample took 0.9 s for a step of 96 before 3,000 engines."""
@@ -20,16 +20,16 @@
 """An engine that refused is left alone for this long: it is full, or it takes new
 weights, which lasts a second."""
 
-UNTRUSTED_SLOTS = 1
+UNTRUSTED_SLOT_COUNT = 1
 """Samples that an engine gets which failed and has shown no sign of life since: one
 shows whether it is back. It comes last and is never moved to, as a sample on an engine
 that is dark waits for a second or more."""
 
-RESERVED_EVENTS = 8
+RESERVATION_EVENT_COUNT = 8
 """Events of its engine for which a slot is kept for a running sample that would gain by
 moving: two of its looks, so that it finds the slot also where events are slow."""
 
-MOST_RESERVED = 0.5
+MAX_RESERVED_SHARE = 0.5
 """Share of an engine's slots that may be kept so; the rest is for samples that wait."""
 
 
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class _AbleEngines:
+class _EligibleEngines:
     """Engines with fresh enough weights for some samples, as found at one time."""
 
     engines: list[TrackedEndpoint]
@@ -60,7 +60,7 @@
 
 
 @dataclass(order=True)
-class _Request:
+class _SlotRequest:
     """A sample that waits for a slot."""
 
     rank: tuple[float, ...]
@@ -75,13 +75,13 @@
     def __init__(self, directory: EndpointDirectory, clock: Clock):
         self._directory = directory
         self._clock = clock
-        self._waiting: list[_Request] = []
+        self._waiting: list[_SlotRequest] = []
         self._has_waiting = asyncio.Event()
         self._sequence = itertools.count()
         self._paused: dict[tuple[EndpointRun, ModelName], float] = {}
-        self._group_homes: dict[tuple[GroupId, EndpointRun], int] = {}
+        self._group_slot_counts: dict[tuple[GroupId, EndpointRun], int] = {}
         self._reserved: dict[SampleId, tuple[EndpointRun, float]] = {}
-        self._able: dict[tuple[object, ...], _AbleEngines] = {}
+        self._eligible: dict[tuple[object, ...], _EligibleEngines] = {}
 
     @property
     def waiting_count(self) -> int:
@@ -91,7 +91,7 @@
     async def acquire(self, demand: SlotDemand) -> TrackedEndpoint:
         """Wait for a slot; give it back with `release`."""
         granted = asyncio.get_running_loop().create_future()
-        request = _Request(demand.rank, next(self._sequence), demand, granted)
+        request = _SlotRequest(demand.rank, next(self._sequence), demand, granted)
         heapq.heappush(self._waiting, request)
         self._grant()
         if self._waiting:
@@ -131,18 +131,18 @@
         here = timedelta(seconds=target.event_gap_s)
         now = self._clock.monotonic()
         better = [
-            each
-            for each in self._able_engines(demand, now)
-            if each is not target
-            and each.event_gap_s is not None
-            and each.is_trusted
-            and is_worth_moving(events, here, timedelta(seconds=each.event_gap_s))
-            and self._is_usable(each, demand, now)
+            candidate
+            for candidate in self._eligible_engines(demand, now)
+            if candidate is not target
+            and candidate.event_gap_s is not None
+            and candidate.is_trusted
+            and is_worth_moving(events, here, timedelta(seconds=candidate.event_gap_s))
+            and self._is_usable(candidate, demand, now)
         ]
-        if any(self._has_room(each, demand.sample) for each in better):
+        if any(self._has_room(candidate, demand.sample) for candidate in better):
             return True
         if better:
-            seconds = RESERVED_EVENTS * target.event_gap_s
+            seconds = RESERVATION_EVENT_COUNT * target.event_gap_s
             self._reserve(min(better, key=_gap_s), demand.sample, seconds)
         return False
 
@@ -150,14 +150,14 @@
         """Look at the engines while samples wait, until cancelled."""
         while True:
             await self._has_waiting.wait()
-            await asyncio.sleep(RECHECK_S)
+            await asyncio.sleep(RECHECK_INTERVAL_S)
             self._grant()
             if not self._waiting:
                 self._has_waiting.clear()
 
     def _grant(self) -> None:
-        left: list[_Request] = []
-        full: set[tuple[object, ...]] = set()
+        ungranted: list[_SlotRequest] = []
+        full_kinds: set[tuple[object, ...]] = set()
         while self._waiting:
             request = heapq.heappop(self._waiting)
             if request.granted.done():
@@ -171,10 +171,10 @@
                 demand.sample in self._reserved,
                 demand.is_suspect,
             )
-            target = None if kind in full else self._choose(demand)
+            target = None if kind in full_kinds else self._choose(demand)
             if target is None:
-                full.add(kind)
-                left.append(request)
+                full_kinds.add(kind)
+                ungranted.append(request)
                 continue
             target.in_flight += 1
             target.suspects += demand.is_suspect
@@ -182,107 +182,123 @@
             self._reserved.pop(demand.sample, None)
             self._count_group(demand.group, target.run, 1)
             request.granted.set_result(target)
-        for request in left:
+        for request in ungranted:
             heapq.heappush(self._waiting, request)
 
     def _choose(self, demand: SlotDemand) -> TrackedEndpoint | None:
         free = [
-            each for each in self._usable(demand) if self._has_room(each, demand.sample)
+            candidate
+            for candidate in self._usable_engines(demand)
+            if self._has_room(candidate, demand.sample)
         ]
         if not free:
             return None
-        known = sorted(each.event_gap_s for each in free if each.event_gap_s)
-        usual_s = known[len(known) // 2] if known else 1.0
+        known = sorted(
+            candidate.event_gap_s for candidate in free if candidate.event_gap_s
+        )
+        median_gap_s = known[len(known) // 2] if known else 1.0
         return min(
             free,
-            key=lambda each: placement_order(self._view(each, demand.group, usual_s)),
+            key=lambda candidate: placement_order(
+                self._engine_view(candidate, demand.group, median_gap_s)
+            ),
         )
 
-    def _view(
-        self, each: TrackedEndpoint, group: GroupId, usual_s: float
+    def _engine_view(
+        self, candidate: TrackedEndpoint, group: GroupId, median_gap_s: float
     ) -> EngineView:
         return EngineView(
-            pace=(each.event_gap_s or usual_s) / usual_s,
-            occupied=each.in_flight / each.endpoint.slots,
-            is_home=(group, each.run) in self._group_homes,
-            is_connected=each.is_connected(self._clock.monotonic()),
-            is_trusted=each.is_trusted,
-            has_suspects=each.suspects > 0,
+            pace=(candidate.event_gap_s or median_gap_s) / median_gap_s,
+            occupied=candidate.in_flight / candidate.endpoint.slots,
+            is_home=(group, candidate.run) in self._group_slot_counts,
+            is_connected=candidate.is_connected(self._clock.monotonic()),
+            is_trusted=candidate.is_trusted,
+            has_suspects=candidate.suspects > 0,
         )
 
-    def _usable(self, demand: SlotDemand) -> list[TrackedEndpoint]:
+    def _usable_engines(self, demand: SlotDemand) -> list[TrackedEndpoint]:
         """Return the engines that take samples of a demand, full or not."""
         now = self._clock.monotonic()
         return [
-            each
-            for each in self._able_engines(demand, now)
-            if self._is_usable(each, demand, now)
+            candidate
+            for candidate in self._eligible_engines(demand, now)
+            if self._is_usable(candidate, demand, now)
         ]
 
-    def _is_usable(self, each: TrackedEndpoint, demand: SlotDemand, now: float) -> bool:
+    def _is_usable(
+        self, candidate: TrackedEndpoint, demand: SlotDemand, now: float
+    ) -> bool:
         """Whether an engine with fresh enough weights takes samples at the moment."""
-        endpoint = each.endpoint
+        endpoint = candidate.endpoint
         return (
-            each.takes_work
+            candidate.takes_work
             # Its entry may have moved it since it was found.
             and endpoint.service == demand.service
             and (not demand.data_centres or endpoint.data_centre in demand.data_centres)
-            and not each.is_suspended(now)
-            and not (demand.is_suspect and each.suspects)
-            and self._paused.get((each.run, demand.model), 0.0) <= now
-            and not each.is_loading(demand.model, now)
+            and not candidate.is_suspended(now)
+            and not (demand.is_suspect and candidate.suspects)
+            and self._paused.get((candidate.run, demand.model), 0.0) <= now
+            and not candidate.is_loading(demand.model, now)
         )
 
-    def _able_engines(self, demand: SlotDemand, now: float) -> list[TrackedEndpoint]:
+    def _eligible_engines(
+        self, demand: SlotDemand, now: float
+    ) -> list[TrackedEndpoint]:
         """Return the engines with fresh enough weights, searched for now and then."""
         key = (demand.service, demand.model, demand.min_version, demand.data_centres)
-        known = self._able.get(key)
+        known = self._eligible.get(key)
         if known is not None and now < known.until:
             return known.engines
         engines = [
-            each
-            for each in self._directory.of_service(demand.service, demand.data_centres)
-            if (each.version_of(demand.model) or 0) >= demand.min_version
+            candidate
+            for candidate in self._directory.of_service(
+                demand.service, demand.data_centres
+            )
+            if (candidate.version_of(demand.model) or 0) >= demand.min_version
         ]
-        self._able = {
-            other: able for other, able in self._able.items() if now < able.until
+        self._eligible = {
+            other: cached
+            for other, cached in self._eligible.items()
+            if now < cached.until
         }
-        self._able[key] = _AbleEngines(engines, now + RECHECK_S)
+        self._eligible[key] = _EligibleEngines(engines, now + RECHECK_INTERVAL_S)
         return engines
 
-    def _has_room(self, each: TrackedEndpoint, sample: SampleId) -> bool:
+    def _has_room(self, candidate: TrackedEndpoint, sample: SampleId) -> bool:
         """Whether an engine has a slot that is not kept for another sample."""
         now = self._clock.monotonic()
-        kept = sum(
-            run == each.run and now < until and other != sample
+        reserved_count = sum(
+            run == candidate.run and now < until and other != sample
             for other, (run, until) in self._reserved.items()
         )
-        return each.in_flight + kept < self._slots(each)
+        return candidate.in_flight + reserved_count < self._slot_limit(candidate)
 
     def _reserve(
         self, engine: TrackedEndpoint, sample: SampleId, seconds: float
     ) -> None:
         now = self._clock.monotonic()
         self._reserved = {
-            other: (kept_at, until)
-            for other, (kept_at, until) in self._reserved.items()
+            other: (engine_run, until)
+            for other, (engine_run, until) in self._reserved.items()
             if now < until
         }
-        kept = sum(run == engine.run for run, _ in self._reserved.values())
-        if kept < MOST_RESERVED * engine.endpoint.slots:
+        reserved_count = sum(run == engine.run for run, _ in self._reserved.values())
+        if reserved_count < MAX_RESERVED_SHARE * engine.endpoint.slots:
             self._reserved[sample] = (engine.run, now + seconds)
 
     @staticmethod
-    def _slots(each: TrackedEndpoint) -> int:
-        return each.endpoint.slots if each.is_trusted else UNTRUSTED_SLOTS
+    def _slot_limit(candidate: TrackedEndpoint) -> int:
+        return (
+            candidate.endpoint.slots if candidate.is_trusted else UNTRUSTED_SLOT_COUNT
+        )
 
     def _count_group(self, group: GroupId, run: EndpointRun, change: int) -> None:
         key = (group, run)
-        count = self._group_homes.get(key, 0) + change
+        count = self._group_slot_counts.get(key, 0) + change
         if count > 0:
-            self._group_homes[key] = count
+            self._group_slot_counts[key] = count
         else:
-            self._group_homes.pop(key, None)
+            self._group_slot_counts.pop(key, None)
 
 
 def _gap_s(engine: TrackedEndpoint) -> float:
--- a/src/bankrudder/batches/_loading.py
+++ b/src/bankrudder/batches/_loading.py
@@ -10,7 +10,7 @@
 from bankrudder.batches._repository import (
     BatchRepository,
     UnknownBatchError,
-    row_trouble,
+    store_failure_reason,
 )
 from bankrudder.batches._values import (
     Batch,
@@ -52,7 +52,7 @@
         routes: Callable[[], RoutingTable | None],
     ):
         self._repository = repository
-        self._progress = progress
+        self._progress_store = progress
         self._routes = routes
 
     async def load(self, batch_id: BatchId, batch: Batch | None) -> LoadedBatch | None:
@@ -63,17 +63,19 @@
         while True:
             try:
                 if batch is not None:
-                    return LoadedBatch(batch, (), await self._progress_of(batch))
+                    return LoadedBatch(batch, (), await self._load_progress(batch))
                 loaded = await self._repository.load(batch_id)
                 listed = await self._repository.all_results(batch_id)
-                progress = await self._progress_of(loaded)
+                progress = await self._load_progress(loaded)
                 return LoadedBatch(loaded, listed, progress)
             except UnknownBatchError:
                 _log.error("batches: samples not found", batch=batch_id)
                 return None
             except StoreUnavailableError as error:
                 _log.warning(
-                    "batches: not read yet", batch=batch_id, reason=row_trouble(error)
+                    "batches: not read yet",
+                    batch=batch_id,
+                    reason=store_failure_reason(error),
                 )
                 await asyncio.sleep(RELOAD_PAUSE_S)
 
@@ -91,20 +93,22 @@
         _log.warning("batches: route no longer configured", batch=batch.id)
         return DEFAULT_RETENTION_S
 
-    def route_now(self, host: str, target: str) -> Route | None:
+    def find_route(self, host: str, target: str) -> Route | None:
         """Return the route that a sample goes by now, None if none is configured."""
         table = self._routes()
         route = table.match(host, target.partition("?")[0]) if table else None
         return route if route and route.kind is RouteKind.ROLLOUT else None
 
-    async def _progress_of(self, batch: Batch) -> dict[SampleId, Progress]:
+    async def _load_progress(self, batch: Batch) -> dict[SampleId, Progress]:
         """Return what was generated of the samples before; none if it is not told."""
         try:
-            progress = await self._progress.of_model(batch.model)
+            progress = await self._progress_store.of_model(batch.model)
         except StoreUnavailableError as error:
             _log.warning(
-                "batches: progress not read", batch=batch.id, reason=row_trouble(error)
+                "batches: progress not read",
+                batch=batch.id,
+                reason=store_failure_reason(error),
             )
             return {}
-        wanted = {sample.id for sample in batch.samples}
-        return {key: each for key, each in progress.items() if key in wanted}
+        sample_ids = {sample.id for sample in batch.samples}
+        return {key: each for key, each in progress.items() if key in sample_ids}
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -10,17 +10,17 @@
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId, ModelVersion
 
-RANK_DELAY_S = 0.4
+TAKEOVER_STAGGER_S = 0.4
 """Hosts take over one after the other, this far apart, so that seldom two try."""
 
-MAX_RANK = 3
+MAX_TAKEOVER_RANK = 3
 """Hosts beyond it wait no longer than this rank."""
 
-WORK_WEIGHT = 0.3
+NEWEST_BATCH_WEIGHT = 0.3
 """Weight of the newest batch in the mean size of a model's batches, and in the mean
 time for which they are open."""
 
-USUAL_TOKENS = 1000
+DEFAULT_TOKEN_COUNT = 1000
 """Tokens that a sample is expected to generate if it says nothing."""
 
 
@@ -39,8 +39,8 @@
         self._owners: dict[BatchId, tuple[Owner, RowVersion]] = {}
         self._ownerless_since: dict[BatchId, float] = {}
         self._last_owner: dict[ModelName, HostId] = {}
-        self._mean_work: dict[ModelName, float] = {}
-        self._most_samples: dict[ModelName, int] = {}
+        self._mean_batch_tokens: dict[ModelName, float] = {}
+        self._largest_sample_count: dict[ModelName, int] = {}
         self._opened_at: dict[BatchId, float] = {}
         self._mean_open_s: dict[ModelName, float] = {}
 
@@ -57,7 +57,7 @@
     def put(self, batch_id: BatchId, owner: Owner, version: RowVersion) -> None:
         """Take a new or changed row."""
         if batch_id not in self._owners:
-            self._note_work(owner)
+            self._record_batch_size(owner)
             self._opened_at[batch_id] = self._clock.monotonic()
         self._owners[batch_id] = (owner, version)
         if owner.host:
@@ -68,7 +68,7 @@
         known = self._owners.pop(batch_id, None)
         opened_at = self._opened_at.pop(batch_id, None)
         if known is not None and opened_at is not None:
-            self._note_end(known[0].model, self._clock.monotonic() - opened_at)
+            self._record_open_time(known[0].model, self._clock.monotonic() - opened_at)
         self._ownerless_since.pop(batch_id, None)
 
     def is_mine(self, owner: Owner) -> bool:
@@ -77,11 +77,11 @@
 
     def work_of(self, model: ModelName) -> float:
         """Return the mean size of a model's latest batches in tokens, 0 if unknown."""
-        return self._mean_work.get(model, 0.0)
+        return self._mean_batch_tokens.get(model, 0.0)
 
     def samples_of(self, model: ModelName) -> int:
         """Return the samples of a model's largest batch so far, 0 if none is known."""
-        return self._most_samples.get(model, 0)
+        return self._largest_sample_count.get(model, 0)
 
     def open_seconds(self) -> Mapping[ModelName, float]:
         """Return for how long the latest batches of each model were open."""
@@ -96,7 +96,7 @@
         )
         return max(needed, default=ModelVersion(0))
 
-    def pick(self, batch: Batch, *, may_be_me: bool) -> Owner:
+    def choose_owner(self, batch: Batch, *, may_choose_this_host: bool) -> Owner:
         """Return who shall work on a new batch: the owner of the model's last one.
 
         That host has connections to the engines and knows how quick they are. The
@@ -105,11 +105,11 @@
         hosts = [
             host
             for host in self._presence.batch_hosts(batch.data_centres)
-            if may_be_me or host != self._presence.host
+            if may_choose_this_host or host != self._presence.host
         ]
         host = self._last_owner.get(batch.model)
         if host not in hosts:
-            host = self._roomiest(hosts, batch.model)
+            host = self._host_with_most_capacity(hosts, batch.model)
         lifetime = self._lifetime_of(host)
         return Owner(
             host=host if host is not None and lifetime is not None else "",
@@ -121,26 +121,26 @@
             samples=len(batch.samples),
         )
 
-    def mine(self, before: Owner) -> Owner:
+    def claimed_row(self, before: Owner) -> Owner:
         """Return the row that makes this host the owner."""
         return msgspec.structs.replace(
             before, host=self._presence.host, lifetime=self._presence.lifetime
         )
 
-    def due_for_me(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
+    def takeover_candidates(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
         """Yield the batches that nobody works on and this host should take over."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
-            if self._has_owner(owner) or self._may_be_new(version):
+            if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
             if not self._presence.is_in(self._presence.host, owner.data_centres):
                 continue
-            if now - since >= self._rank(batch_id, owner) * RANK_DELAY_S:
+            if now - since >= self._takeover_rank(batch_id, owner) * TAKEOVER_STAGGER_S:
                 yield batch_id, owner, version
 
-    def _may_be_new(self, version: RowVersion) -> bool:
+    def _is_newer_than_hosts(self, version: RowVersion) -> bool:
         """Whether an owner's row is newer than what is known of the hosts.
 
         It may name a run whose first heartbeat has not been read here, as hosts that
@@ -148,7 +148,7 @@
         """
         return version > self._presence.read_version
 
-    def _has_owner(self, owner: Owner) -> bool:
+    def _has_live_owner(self, owner: Owner) -> bool:
         if not owner.host:
             return False
         return self._presence.is_alive(HostId(owner.host), Lifetime(owner.lifetime))
@@ -160,39 +160,43 @@
             return self._presence.lifetime
         return self._presence.lifetime_of(host)
 
-    def _rank(self, batch_id: BatchId, owner: Owner) -> int:
+    def _takeover_rank(self, batch_id: BatchId, owner: Owner) -> int:
         """Return this host's place among those that would take a batch over."""
         hosts = sorted(
             self._presence.live_hosts(owner.data_centres),
             key=lambda host: (-self._presence.room_of(host), draw(batch_id, host)),
         )
         if self._presence.host not in hosts:
-            return MAX_RANK
-        return min(hosts.index(self._presence.host), MAX_RANK)
+            return MAX_TAKEOVER_RANK
+        return min(hosts.index(self._presence.host), MAX_TAKEOVER_RANK)
 
-    def _roomiest(self, hosts: Sequence[HostId], model: ModelName) -> HostId | None:
+    def _host_with_most_capacity(
+        self, hosts: Sequence[HostId], model: ModelName
+    ) -> HostId | None:
         """Return a host with much room, another one for each model if there are."""
-        taken = set(self._last_owner.values())
+        latest_owners = set(self._last_owner.values())
         return max(
             hosts,
             key=lambda host: (
                 self._presence.room_of(host),
-                host not in taken,
+                host not in latest_owners,
                 draw(model, host),
             ),
             default=None,
         )
 
-    def _note_end(self, model: ModelName, open_s: float) -> None:
+    def _record_open_time(self, model: ModelName, open_s: float) -> None:
         mean = self._mean_open_s.get(model, open_s)
-        self._mean_open_s[model] = mean + WORK_WEIGHT * (open_s - mean)
+        self._mean_open_s[model] = mean + NEWEST_BATCH_WEIGHT * (open_s - mean)
 
-    def _note_work(self, owner: Owner) -> None:
+    def _record_batch_size(self, owner: Owner) -> None:
         samples = max(owner.samples, self.samples_of(owner.model))
-        self._most_samples[owner.model] = samples
-        mean = self._mean_work.get(owner.model, owner.work)
-        self._mean_work[owner.model] = mean + WORK_WEIGHT * (owner.work - mean)
+        self._largest_sample_count[owner.model] = samples
+        mean = self._mean_batch_tokens.get(owner.model, owner.work)
+        self._mean_batch_tokens[owner.model] = mean + NEWEST_BATCH_WEIGHT * (
+            owner.work - mean
+        )
 
 
 def _expected_tokens(batch: Batch) -> int:
-    return sum(sample.length_hint or USUAL_TOKENS for sample in batch.samples)
+    return sum(sample.length_hint or DEFAULT_TOKEN_COUNT for sample in batch.samples)
--- a/src/bankrudder/batches/_progress.py
+++ b/src/bankrudder/batches/_progress.py
@@ -34,7 +34,7 @@
 
     def __init__(self, store: Store, row_bytes: int):
         self._store = store
-        self._row_bytes = row_bytes - ROW_MARGIN_BYTES
+        self._max_value_bytes = row_bytes - ROW_MARGIN_BYTES
 
     async def save(
         self, model: ModelName, progress: Iterable[tuple[SampleId, Progress]]
@@ -48,19 +48,19 @@
         """
         is_kept = True
         puts: list[Put] = []
-        size = 0
+        transaction_bytes = 0
         for sample_id, each in progress:
             value = msgspec.msgpack.encode(each)
-            if len(value) > self._row_bytes:
+            if len(value) > self._max_value_bytes:
                 continue
             if (
-                size + len(value) > MAX_TRANSACTION_BYTES
+                transaction_bytes + len(value) > MAX_TRANSACTION_BYTES
                 or len(puts) >= MAX_TRANSACTION_ROWS
             ):
                 is_kept &= await self._put_rows(puts)
-                puts, size = [], 0
+                puts, transaction_bytes = [], 0
             puts.append(Put(RowKey(PROGRESS_TABLE, model, sample_id), value))
-            size += len(value)
+            transaction_bytes += len(value)
         if puts:
             is_kept &= await self._put_rows(puts)
         return is_kept
@@ -77,8 +77,8 @@
         """Remove progress that is no longer needed; failing to is harmless."""
         keys = [RowKey(PROGRESS_TABLE, model, sample) for sample in samples]
         for start in range(0, len(keys), MAX_TRANSACTION_ROWS):
-            some = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
-            await self._store.commit(Transaction(removals=some))
+            key_chunk = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
+            await self._store.commit(Transaction(removals=key_chunk))
 
     async def _put_rows(self, puts: Sequence[Put]) -> bool:
         outcome = await self._store.commit(Transaction(puts=tuple(puts)))
--- a/src/bankrudder/batches/_reading.py
+++ b/src/bankrudder/batches/_reading.py
@@ -14,14 +14,14 @@
 from bankrudder.store import StoreUnavailableError
 from bankrudder.world import Clock, SampleId, WorkspaceName
 
-Kept = TypeVar("Kept")
+Cached = TypeVar("Cached")
 
-POLL_S = 0.08
+POLL_INTERVAL_S = 0.08
 """How often the store is asked while a reader waits: a delay of half of it for each
 result, at the price of a read."""
 
-KEPT_HEADS = 512
-KEPT_BATCHES = 4
+CACHED_HEAD_COUNT = 512
+CACHED_BATCH_COUNT = 4
 """Heads and whole batches that are kept in memory; they never change."""
 
 
@@ -50,13 +50,13 @@
                 page = await self._page(batch_id, after)
             except StoreUnavailableError:
                 # A reader that waits is answered when the store returns.
-                if self._clock.monotonic() + POLL_S >= until:
+                if self._clock.monotonic() + POLL_INTERVAL_S >= until:
                     raise
             else:
                 left_s = until - self._clock.monotonic()
-                if page is None or page.is_enough or left_s <= POLL_S:
+                if page is None or page.ends_wait or left_s <= POLL_INTERVAL_S:
                     return page
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _page(self, batch_id: BatchId, after: int) -> ResultPage | None:
         head = await self._head(batch_id)
@@ -84,7 +84,7 @@
                 batch = await self._repository.load(batch_id)
             except UnknownBatchError:
                 return None
-            _keep(self._batches, batch_id, batch, KEPT_BATCHES)
+            _cache(self._batches, batch_id, batch, CACHED_BATCH_COUNT)
         for sample in batch.samples:
             if sample.id == sample_id:
                 return sample
@@ -95,11 +95,13 @@
         if head is None:
             head = await self._repository.head(batch_id)
             if head is not None:
-                _keep(self._heads, batch_id, head, KEPT_HEADS)
+                _cache(self._heads, batch_id, head, CACHED_HEAD_COUNT)
         return head
 
 
-def _keep(kept: dict[BatchId, Kept], key: BatchId, value: Kept, most: int) -> None:
-    if len(kept) >= most:
-        del kept[next(iter(kept))]
-    kept[key] = value
+def _cache(
+    cache: dict[BatchId, Cached], key: BatchId, value: Cached, max_count: int
+) -> None:
+    if len(cache) >= max_count:
+        del cache[next(iter(cache))]
+    cache[key] = value
--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -57,11 +57,11 @@
 ROW_MARGIN_BYTES = 1024
 """How far rows stay below the largest that the store takes."""
 
-WRITE_GIVE_UP_S = 2.5
+WRITE_TIMEOUT_S = 2.5
 """Time for which an acceptance or an end is tried again: within the time that a
 caller waits for it."""
 
-REFUSED_GIVE_UP_S = 0.4
+REFUSED_WRITE_TIMEOUT_S = 0.4
 """The same for an acceptance that surely was not carried out, as the store is away for
 this host: another one may be served, and the step of a trainer waits for it. A try
 waits for the store's return by itself."""
@@ -93,7 +93,7 @@
     def __init__(self, store: Store, clock: Clock, row_bytes: int):
         self._store = store
         self._clock = clock
-        self._row_bytes = row_bytes - ROW_MARGIN_BYTES
+        self._max_value_bytes = row_bytes - ROW_MARGIN_BYTES
 
     async def accept(self, batch: Batch, owner: Owner) -> AcceptOutcome:
         """Keep a batch, once.
@@ -107,7 +107,7 @@
         """
         body = msgspec.msgpack.encode(batch)
         digest = _digest(batch)
-        chunks = self._split(body) if len(body) <= MAX_INLINE_BYTES else []
+        chunks = self._split_rows(body) if len(body) <= MAX_INLINE_BYTES else []
         if not chunks:
             await self._put_object(batch.id, digest, body)
         head = BatchHead(digest, len(batch.samples), len(chunks), batch.workspace)
@@ -127,8 +127,8 @@
             transaction,
             lambda _: False,  # whose write it was does not matter: the batch is kept
             self._clock,
-            WRITE_GIVE_UP_S,
-            REFUSED_GIVE_UP_S,
+            WRITE_TIMEOUT_S,
+            REFUSED_WRITE_TIMEOUT_S,
         )
         match outcome:
             case Committed(version=version):
@@ -173,18 +173,20 @@
         return page.rows[0] if page.rows else None
 
     async def set_owner(
-        self, batch_id: BatchId, before: RowVersion, owner: Owner
+        self, batch_id: BatchId, expected_version: RowVersion, owner: Owner
     ) -> RowVersion | None:
         """Change the owner; return the fencing token, None if it had changed."""
         value = msgspec.json.encode(owner)
         key = owner_key(batch_id)
-        transaction = Transaction((Expectation(key, before),), (Put(key, value),))
+        transaction = Transaction(
+            (Expectation(key, expected_version),), (Put(key, value),)
+        )
         outcome = await commit_settled(
             self._store,
             transaction,
             lambda conflict: conflict.holds(value),
             self._clock,
-            WRITE_GIVE_UP_S,
+            WRITE_TIMEOUT_S,
         )
         match outcome:
             case Committed(version=version):
@@ -217,7 +219,7 @@
         # Sending it again is harmless while the owner is the same, so that a
         # conflict always means that another took over or that the batch ended.
         outcome = await commit_settled(
-            self._store, transaction, lambda _: False, self._clock, WRITE_GIVE_UP_S
+            self._store, transaction, lambda _: False, self._clock, WRITE_TIMEOUT_S
         )
         match outcome:
             case Committed():
@@ -234,11 +236,11 @@
         page = await self._store.read(
             RESULTS_TABLE, batch_id, f"{after:08d}", "", limit
         )
-        return _joined_results(page.rows)
+        return _decode_results(page.rows)
 
     async def all_results(self, batch_id: BatchId) -> tuple[SampleResult, ...]:
         """Return all results that are listed."""
-        return _joined_results(await read_all(self._store, RESULTS_TABLE, batch_id))
+        return _decode_results(await read_all(self._store, RESULTS_TABLE, batch_id))
 
     async def end(self, batch_id: BatchId) -> bool:
         """End a batch; return whether there is one.
@@ -256,7 +258,7 @@
                 (Expectation(row.key, row.version),), (), (row.key,)
             )
             outcome = await commit_settled(
-                self._store, transaction, lambda _: False, self._clock, WRITE_GIVE_UP_S
+                self._store, transaction, lambda _: False, self._clock, WRITE_TIMEOUT_S
             )
             match outcome:
                 case Committed():
@@ -266,7 +268,7 @@
                 case Conflict():
                     continue  # a new owner, or an end whose reply was lost
 
-    async def forget(self, batch_id: BatchId) -> None:
+    async def delete(self, batch_id: BatchId) -> None:
         """Remove all that is kept of a batch that was ended long ago."""
         head = await self.head(batch_id)
         if head is not None and not head.chunks:
@@ -286,16 +288,16 @@
     def _result_puts(
         self, batch_id: BatchId, position: int, result: SampleResult
     ) -> Iterable[Put]:
-        chunks = self._split(msgspec.msgpack.encode(result))
+        chunks = self._split_rows(msgspec.msgpack.encode(result))
         last = len(chunks) - 1
         for number, chunk in enumerate(chunks):
             # The mark tells a reader whether another row of this result follows.
-            mark = "+" if number < last else "."
-            key = f"{position:08d}/{number:04d}{mark}"
+            suffix = "+" if number < last else "."
+            key = f"{position:08d}/{number:04d}{suffix}"
             yield Put(RowKey(RESULTS_TABLE, batch_id, key), chunk)
 
-    def _split(self, body: bytes) -> list[bytes]:
-        size = self._row_bytes
+    def _split_rows(self, body: bytes) -> list[bytes]:
+        size = self._max_value_bytes
         return [body[start : start + size] for start in range(0, len(body), size)]
 
 
@@ -318,7 +320,7 @@
     return f"{batch_id}-{digest[:16]}"
 
 
-def _joined_results(rows: Iterable[Row]) -> tuple[SampleResult, ...]:
+def _decode_results(rows: Iterable[Row]) -> tuple[SampleResult, ...]:
     results: list[SampleResult] = []
     chunks: list[bytes] = []
     for row in rows:
@@ -330,7 +332,7 @@
     return tuple(results)
 
 
-def row_trouble(error: StoreUnavailableError | NotSettledError) -> str:
+def store_failure_reason(error: StoreUnavailableError | NotSettledError) -> str:
     """Return why a call to the store failed, for a log line."""
     match error:
         case StoreUnavailableError(trouble=trouble):
--- a/src/bankrudder/batches/_run.py
+++ b/src/bankrudder/batches/_run.py
@@ -12,7 +12,7 @@
 from bankrudder.batches._repository import (
     MAX_TRANSACTION_BYTES,
     BatchRepository,
-    row_trouble,
+    store_failure_reason,
 )
 from bankrudder.batches._sampling import SampleGenerator
 from bankrudder.batches._scoring import ScoreFailedError, Scorer
@@ -31,15 +31,15 @@
 from bankrudder.store import NotSettledError, RowVersion, StoreUnavailableError
 from bankrudder.world import Clock, SampleId
 
-SAVE_PAUSE_S = 0.4
+SAVE_INTERVAL_S = 0.4
 """Pause between two savings of progress: a new owner repeats at most this much of
 each sample, besides the time in which the loss of the owner is noticed."""
 
-MIN_NEW_EVENTS = 10
+MIN_UNSAVED_EVENT_COUNT = 10
 """Events since the last saving for which a sample is saved again, about 0.4 s of
 generation: a quarter of the samples ends sooner and is never saved."""
 
-MAX_RESULTS_AT_ONCE = 40
+MAX_RESULTS_PER_TRANSACTION = 40
 """Results that are listed in one transaction at most, so that it stays small."""
 
 _log = structlog.get_logger("batches")
@@ -65,7 +65,7 @@
     def __init__(
         self,
         batch: Batch,
-        route_now: Callable[[str, str], Route | None],
+        find_route: Callable[[str, str], Route | None],
         fence: RowVersion,
         listed: Sequence[SampleResult],
         progress: Mapping[SampleId, Progress],
@@ -87,13 +87,13 @@
         self._fence = fence
         self._next_position = len(listed)
         self._repository = repository
-        self._progress = progress_store
+        self._progress_store = progress_store
         self._dispatcher = dispatcher
         self._scorer = scorer
         self._client = client
         self._clock = clock
-        self._give_up_at = clock.monotonic() + retention_left_s
-        self._results: asyncio.Queue[SampleResult] = asyncio.Queue()
+        self._deadline = clock.monotonic() + retention_left_s
+        self._unlisted_results: asyncio.Queue[SampleResult] = asyncio.Queue()
         done = {result.id for result in listed}
         ranks = sample_ranks(
             batch.samples,
@@ -102,25 +102,25 @@
             clock.monotonic(),
             pace.seconds,
         )
-        self._pace = pace
+        self._token_pace = pace
         self._generators = [
             SampleGenerator(
                 batch,
                 sample,
-                route_now,
+                find_route,
                 ranks[sample.id],
                 dispatcher,
                 client,
                 crashes,
                 clock,
-                self._give_up_at,
+                self._deadline,
                 tracer,
                 progress.get(sample.id),
             )
             for sample in batch.samples
             if sample.id not in done
         ]
-        self._listed_now: set[SampleId] = set()
+        self._listed_samples: set[SampleId] = set()
         self._saved_events = {key: each.next_number for key, each in progress.items()}
 
     @property
@@ -133,16 +133,16 @@
         """Version of the row that makes this host the owner."""
         return self._fence
 
-    def saved_and_listed(self) -> list[SampleId]:
+    def obsolete_progress(self) -> list[SampleId]:
         """Return the samples whose saved progress is of no more use."""
-        return [key for key in self._saved_events if key in self._listed_now]
+        return [key for key in self._saved_events if key in self._listed_samples]
 
-    def unfinished(self) -> list[tuple[SampleId, Progress]]:
+    def unfinished_progress(self) -> list[tuple[SampleId, Progress]]:
         """Return what was generated of samples of groups that are not listed whole."""
         open_groups = {
             each.sample.group
             for each in self._generators
-            if each.sample.id not in self._listed_now
+            if each.sample.id not in self._listed_samples
         }
         return [
             (each.sample.id, each.text.progress)
@@ -154,7 +154,7 @@
         """Work until every sample is listed or another owner took over."""
         began = self._clock.monotonic()
         samplers = [
-            asyncio.ensure_future(self._finish(generator))
+            asyncio.ensure_future(self._complete_sample(generator))
             for generator in self._generators
         ]
         saver = asyncio.ensure_future(self._save_progress())
@@ -174,24 +174,24 @@
     async def _save_progress(self) -> None:
         """Keep what long samples have so far, for an owner that takes over."""
         while True:
-            await asyncio.sleep(SAVE_PAUSE_S)
+            await asyncio.sleep(SAVE_INTERVAL_S)
             due = [
                 (each.sample.id, each.text.progress)
                 for each in self._generators
-                if self._is_due(each)
+                if self._needs_saving(each)
             ]
-            if due and await self._progress.save(self._batch.model, due):
+            if due and await self._progress_store.save(self._batch.model, due):
                 for sample_id, progress in due:
                     self._saved_events[sample_id] = progress.next_number
 
-    def _is_due(self, generator: SampleGenerator) -> bool:
+    def _needs_saving(self, generator: SampleGenerator) -> bool:
         sample_id = generator.sample.id
-        if sample_id in self._listed_now:
+        if sample_id in self._listed_samples:
             return False
         saved = self._saved_events.get(sample_id, 0)
-        return generator.text.next_number - saved >= MIN_NEW_EVENTS
+        return generator.text.next_number - saved >= MIN_UNSAVED_EVENT_COUNT
 
-    async def _finish(self, generator: SampleGenerator) -> None:
+    async def _complete_sample(self, generator: SampleGenerator) -> None:
         sample = generator.sample
         began = self._clock.monotonic()
         span = self._tracer.span(
@@ -202,12 +202,12 @@
         )
         try:
             with span:
-                async with asyncio.timeout(self._give_up_at - began):
+                async with asyncio.timeout(self._deadline - began):
                     await generator.run(span.traceparent)
                     whole_at = self._clock.monotonic()
                     ran_s = whole_at - began - generator.waited_s
-                    self._pace.note(sample.length_hint, timedelta(seconds=ran_s))
-                    score = await self._scored(sample, span.traceparent)
+                    self._token_pace.note(sample.length_hint, timedelta(seconds=ran_s))
+                    score = await self._score(sample, span.traceparent)
         except (SampleFailedError, ScoreFailedError, TimeoutError) as error:
             _log.warning(
                 "batches: sample given up",
@@ -240,9 +240,9 @@
                 score,
                 generator.text.version_events,
             )
-        self._results.put_nowait(result)
+        self._unlisted_results.put_nowait(result)
 
-    async def _scored(self, sample: Sample, trace: str) -> str:
+    async def _score(self, sample: Sample, trace: str) -> str:
         if sample.reward is None:
             return ""
         return await self._scorer.score(sample.reward, trace)
@@ -251,17 +251,17 @@
         """List `count` results as they come; False if another owner took over."""
         while count:
             results = await self._next_results()
-            while not await self._was_listed(results):
-                if self._is_deposed:
+            while not await self._try_list(results):
+                if self._is_replaced:
                     return False
             self._next_position += len(results)
-            self._listed_now.update(result.id for result in results)
+            self._listed_samples.update(result.id for result in results)
             count -= len(results)
         return True
 
-    _is_deposed = False
+    _is_replaced = False
 
-    async def _was_listed(self, results: Sequence[SampleResult]) -> bool:
+    async def _try_list(self, results: Sequence[SampleResult]) -> bool:
         # The same results go to the same positions until that is known.
         try:
             listed = await self._repository.add_results(
@@ -272,19 +272,22 @@
                 "batches: results not listed yet",
                 batch=self._batch.id,
                 position=self._next_position,
-                reason=row_trouble(error),
+                reason=store_failure_reason(error),
             )
             await asyncio.sleep(0.1)
             return False
-        self._is_deposed = not listed
+        self._is_replaced = not listed
         return listed
 
     async def _next_results(self) -> list[SampleResult]:
-        results = [await self._results.get()]
+        results = [await self._unlisted_results.get()]
         size = len(results[0].text)
-        while not self._results.empty() and len(results) < MAX_RESULTS_AT_ONCE:
+        while (
+            not self._unlisted_results.empty()
+            and len(results) < MAX_RESULTS_PER_TRANSACTION
+        ):
             if size > MAX_TRANSACTION_BYTES // 2:
                 break
-            results.append(self._results.get_nowait())
+            results.append(self._unlisted_results.get_nowait())
             size += len(results[-1].text)
         return results
--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -7,9 +7,13 @@
 import structlog
 
 from bankrudder.batches._dispatcher import Dispatcher, SlotDemand
-from bankrudder.batches._event_timeout import opened, silence_s, timed
+from bankrudder.batches._event_timeout import (
+    enter_stream,
+    event_timeout_s,
+    with_event_timeout,
+)
 from bankrudder.batches._failures import SampleFailedError, StaleWeightsError
-from bankrudder.batches._text import SampleText, fits
+from bankrudder.batches._text import SampleText, can_resume
 from bankrudder.batches._values import Batch, Progress, Sample
 from bankrudder.crashes import Admission, CrashGuard, Send, content_id
 from bankrudder.fleet import (
@@ -31,7 +35,7 @@
 from bankrudder.routing import Route
 from bankrudder.world import Clock, ModelVersion
 
-EVENTS_BETWEEN_LOOKS = 4
+EVENTS_PER_MOVE_CHECK = 4
 """Events after which a run looks for a quicker engine again."""
 
 METHOD = "POST"
@@ -39,11 +43,11 @@
 
 MIN_RUN_TIMEOUT_S = 0.5
 
-MOST_HELD_S = 1.0
+MAX_HOLD_S = 1.0
 """Longest pause between two looks whether a sample under which engines ended may run:
 an answer elsewhere, or another sample that explains it, may clear it at any time."""
 
-STATUS_NEVER_DOABLE = 422
+STATUS_UNPROCESSABLE = 422
 """An engine answers so if a sample can never be generated."""
 
 _log = structlog.get_logger("batches")
@@ -66,26 +70,26 @@
         self,
         batch: Batch,
         sample: Sample,
-        route_now: Callable[[str, str], Route | None],
+        find_route: Callable[[str, str], Route | None],
         rank: tuple[float, ...],
         dispatcher: Dispatcher,
         client: EndpointClient,
         crashes: CrashGuard,
         clock: Clock,
-        give_up_at: float,
+        deadline: float,
         tracer: Tracer,
         progress: Progress | None = None,
     ):
         self._tracer = tracer
         self._batch = batch
         self._sample = sample
-        self._route_now = route_now
-        self._route = route_now(batch.host, sample.target)
+        self._find_route = find_route
+        self._route = find_route(batch.host, sample.target)
         self._rank = rank
         self._dispatcher = dispatcher
         self._client = client
         self._crashes = crashes
-        self._content = content_id(
+        self._content_id = content_id(
             METHOD,
             batch.host,
             sample.target,
@@ -96,14 +100,14 @@
             ],
         )
         self._clock = clock
-        self._give_up_at = give_up_at
+        self._deadline = deadline
         self._text = SampleText()
         self._failures = 0
         self._run_count = 0
         self._waited_s = 0.0
         self._longest_gap_s = 0.0
-        self._began = 0.0
-        if progress is not None and fits(
+        self._run_started_at = 0.0
+        if progress is not None and can_resume(
             progress, batch.min_version, single=self._is_single_version
         ):
             self._text.resume(progress)
@@ -147,18 +151,18 @@
             If it cannot be, or failed as often as the route allows.
         """
         try:
-            await self._run_until_whole(trace)
+            await self._generate(trace)
         finally:
-            self._crashes.tell(self._content)
+            self._crashes.tell(self._content_id)
 
-    async def _run_until_whole(self, trace: str) -> None:
+    async def _generate(self, trace: str) -> None:
         while not self._text.is_whole:
-            is_suspect = await self._held_back()
-            asked_at = self._clock.monotonic()
+            is_suspect = await self._wait_for_admission()
+            requested_at = self._clock.monotonic()
             route = self._current_route()
             demand = self._demand(route, is_suspect)
             target = await self._dispatcher.acquire(demand)
-            self._waited_s += self._clock.monotonic() - asked_at
+            self._waited_s += self._clock.monotonic() - requested_at
             self._run_count += 1
             span = self._tracer.span(
                 "batches.run",
@@ -169,16 +173,16 @@
             )
             try:
                 with span:
-                    await self._run_until_end(target, demand)
+                    await self._run_on_engine(target, demand)
                     span.set(events=len(self._text), is_whole=self._text.is_whole)
             finally:
                 self._dispatcher.release(target, demand.group, demand.is_suspect)
 
-    async def _held_back(self) -> bool:
+    async def _wait_for_admission(self) -> bool:
         """Wait while the sample may not run; return whether engines ended under it."""
         is_logged = False
         while True:
-            verdict = self._crashes.verdict(self._content)
+            verdict = self._crashes.verdict(self._content_id)
             if verdict.admission is not Admission.REFUSED:
                 return verdict.admission is Admission.ALONE
             if not is_logged:
@@ -187,12 +191,12 @@
                     "batches: sample held back",
                     batch=self._batch.id,
                     sample=self._sample.id,
-                    content=self._content,
+                    content=self._content_id,
                     reason="crashes_endpoints",
                     strikes=verdict.strikes,
                     retry_after_s=round(verdict.retry_after_s, 1),
                 )
-            await asyncio.sleep(min(verdict.retry_after_s, MOST_HELD_S))
+            await asyncio.sleep(min(verdict.retry_after_s, MAX_HOLD_S))
 
     def _demand(self, route: Route, is_suspect: bool) -> SlotDemand:
         return SlotDemand(
@@ -206,33 +210,33 @@
             is_suspect,
         )
 
-    async def _run_until_end(self, target: TrackedEndpoint, demand: SlotDemand) -> None:
-        self._began = self._clock.monotonic()
+    async def _run_on_engine(self, target: TrackedEndpoint, demand: SlotDemand) -> None:
+        self._run_started_at = self._clock.monotonic()
         try:
             async with within_run(target):
-                await self._run_on(target, demand)
+                await self._generate_on(target, demand)
         except RunEndedError:
-            self._log_break(target, "the engine started again")
-            await self._note_lost(target, LossReason.ENDPOINT_RESTARTED)
+            self._log_run_end(target, "the engine started again")
+            await self._report_lost(target, LossReason.ENDPOINT_RESTARTED)
 
-    async def _run_on(self, target: TrackedEndpoint, demand: SlotDemand) -> None:
+    async def _generate_on(self, target: TrackedEndpoint, demand: SlotDemand) -> None:
         async with AsyncExitStack() as stack:
-            stream = self._client.open_stream(target.endpoint, self._outgoing())
-            match await opened(stack, stream):
+            stream = self._client.open_stream(target.endpoint, self._outgoing_request())
+            match await enter_stream(stack, stream):
                 case OpenedStream(version=version, events=events, kept_s=kept_s):
-                    await self._take_stream(target, demand, version, events)
+                    await self._consume_stream(target, demand, version, events)
                     if self._text.is_whole:
                         now = self._clock.monotonic()
                         target.note_connection(kept_s, now)
                 case Refused(reason=RefusalReason.FULL):
                     self._dispatcher.pause(target, self._batch.model)
                 case Refused(reason=reason):
-                    self._note_failure(target, reason.value)
+                    self._record_failure(target, reason.value)
                 case Lost(reason=lost):
-                    self._note_failure(target, lost.value)
-                    await self._note_lost(target, lost)
+                    self._record_failure(target, lost.value)
+                    await self._report_lost(target, lost)
                 case Answered(status=status):
-                    self._take_failure(target, status)
+                    self._handle_error_status(target, status)
 
     @property
     def _is_single_version(self) -> bool:
@@ -240,13 +244,13 @@
 
     def _current_route(self) -> Route:
         """Return the route as it is now: a configuration may have moved it."""
-        self._route = self._route_now(self._batch.host, self._sample.target)
+        self._route = self._find_route(self._batch.host, self._sample.target)
         if self._route is None:
             raise SampleFailedError("its route is no longer configured")
         return self._route
 
-    def _outgoing(self) -> OutgoingRequest:
-        left_s = self._give_up_at - self._clock.monotonic()
+    def _outgoing_request(self) -> OutgoingRequest:
+        left_s = self._deadline - self._clock.monotonic()
         return OutgoingRequest(
             request_id=self._sample.id,
             method=METHOD,
@@ -260,7 +264,7 @@
             workspace=self._batch.workspace,
         )
 
-    async def _take_stream(
+    async def _consume_stream(
         self,
         target: TrackedEndpoint,
         demand: SlotDemand,
@@ -268,43 +272,45 @@
         events: AsyncIterator[StreamEvent],
     ) -> None:
         began = self._clock.monotonic()
-        last = began
-        looked_at: float | None = None
+        last_event_at = began
+        last_check_at: float | None = None
         count = 0
         try:
-            async for event in timed(events, lambda: silence_s(target.event_gap_s)):
+            async for event in with_event_timeout(
+                events, lambda: event_timeout_s(target.event_gap_s)
+            ):
                 now = self._clock.monotonic()
-                self._longest_gap_s = max(self._longest_gap_s, now - last)
-                last = now
-                self._take_event(target, event, version)
+                self._longest_gap_s = max(self._longest_gap_s, now - last_event_at)
+                last_event_at = now
+                self._add_event(target, event, version)
                 version = event.version or version
-                if looked_at is None:
+                if last_check_at is None:
                     target.note_alive()
-                    looked_at = now
+                    last_check_at = now
                     continue
                 count += 1
-                if count % EVENTS_BETWEEN_LOOKS == 0:
-                    target.note_event_gap((now - looked_at) / EVENTS_BETWEEN_LOOKS)
-                    looked_at = now
+                if count % EVENTS_PER_MOVE_CHECK == 0:
+                    target.note_event_gap((now - last_check_at) / EVENTS_PER_MOVE_CHECK)
+                    last_check_at = now
                     if self._dispatcher.should_move(demand, target, len(self._text)):
-                        self._log_break(target, "a free engine is quicker")
+                        self._log_run_end(target, "a free engine is quicker")
                         return
         except StreamBrokenError as error:
-            self._note_failure(target, str(error))
-            await self._note_lost(target, LossReason.BROKEN_OFF)
+            self._record_failure(target, str(error))
+            await self._report_lost(target, LossReason.BROKEN_OFF)
             return
         except TimeoutError:
-            self._note_failure(target, "no event in time")
+            self._record_failure(target, "no event in time")
             return
         except StaleWeightsError:
-            self._log_break(target, "weights too old")
+            self._log_run_end(target, "weights too old")
             self._dispatcher.pause(target, self._batch.model)
             return
         self._text.is_whole = True
-        self._crashes.note_answer(self._content)
+        self._crashes.note_answer(self._content_id)
         target.note_answer(self._clock.monotonic() - began)
 
-    def _take_event(
+    def _add_event(
         self, target: TrackedEndpoint, event: StreamEvent, version: ModelVersion | None
     ) -> None:
         version = event.version or version
@@ -318,31 +324,31 @@
             raise StaleWeightsError
         known = self._text.versions
         if known and version not in known and self._is_single_version:
-            self._text.discard()
+            self._text.clear()
             raise StreamBrokenError("version changed within a sample")
 
-    def _take_failure(self, target: TrackedEndpoint, status: int) -> None:
-        if status == STATUS_NEVER_DOABLE:
+    def _handle_error_status(self, target: TrackedEndpoint, status: int) -> None:
+        if status == STATUS_UNPROCESSABLE:
             raise SampleFailedError("the engine says that it can never be done")
         self._failures += 1
-        self._log_break(target, f"status {status}")
+        self._log_run_end(target, f"status {status}")
         if self._failures >= self._current_route().max_attempts:
             raise SampleFailedError(f"failed {self._failures} times")
 
-    def _note_failure(self, target: TrackedEndpoint, reason: str) -> None:
+    def _record_failure(self, target: TrackedEndpoint, reason: str) -> None:
         target.note_failure(self._clock.monotonic())
-        self._log_break(target, reason)
+        self._log_run_end(target, reason)
 
-    async def _note_lost(self, target: TrackedEndpoint, reason: LossReason) -> None:
-        send = Send(self._content, target, self._began)
+    async def _report_lost(self, target: TrackedEndpoint, reason: LossReason) -> None:
+        send = Send(self._content_id, target, self._run_started_at)
         await self._crashes.note_lost(send, reason)
 
-    def _log_break(self, target: TrackedEndpoint, reason: str) -> None:
+    def _log_run_end(self, target: TrackedEndpoint, reason: str) -> None:
         _log.info(
             "batches: run broken off",
             batch=self._batch.id,
             sample=self._sample.id,
-            content=self._content,
+            content=self._content_id,
             endpoint=target.endpoint.id,
             events=len(self._text),
             reason=reason,
--- a/src/bankrudder/batches/_scoring.py
+++ b/src/bankrudder/batches/_scoring.py
@@ -17,14 +17,14 @@
 from bankrudder.routing import RoutingTable, ServiceName
 from bankrudder.world import Clock
 
-MAX_SHARE = 0.5
+MAX_SLOT_SHARE = 0.5
 """Share of a service's slots that scoring may take from this host: the rest stays
 free for callers who wait."""
 
 RETRY_PAUSE_S = 0.1
 """Pause after a try without an answer: about two usual answers."""
 
-MOST_HELD_S = 1.0
+MAX_HOLD_S = 1.0
 """Longest pause before another try of a call under which endpoints ended: an answer
 elsewhere may clear it at any time."""
 
@@ -50,7 +50,7 @@
         self._routes = routes
         self._clock = clock
         self._running: dict[ServiceName, int] = {}
-        self._freed = asyncio.Event()
+        self._slot_released = asyncio.Event()
 
     async def score(self, call: RewardCall, trace: str) -> str:
         """Return the proof of the grading service's answer.
@@ -68,7 +68,7 @@
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             service = self._forwarder.pick_service(route)
-            await self._enter(service)
+            await self._acquire_slot(service)
             try:
                 now = self._clock.monotonic()
                 request = IncomingRequest(
@@ -85,7 +85,7 @@
                 )
                 reply = await self._forwarder.forward(request, route)
             finally:
-                self._leave(service)
+                self._release_slot(service)
             match reply:
                 case Relayed(status=status, proof=proof) if status < 300 and proof:
                     return proof
@@ -101,24 +101,24 @@
                         raise ScoreFailedError(f"status {status}")
                     await asyncio.sleep(RETRY_PAUSE_S)
                 case NotRun(RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
-                    await asyncio.sleep(min(seconds, MOST_HELD_S))
+                    await asyncio.sleep(min(seconds, MAX_HOLD_S))
                 case _:
                     await asyncio.sleep(RETRY_PAUSE_S)
 
-    async def _enter(self, service: ServiceName) -> None:
-        while self._running.get(service, 0) >= self._limit(service):
-            self._freed.clear()
-            await self._freed.wait()
+    async def _acquire_slot(self, service: ServiceName) -> None:
+        while self._running.get(service, 0) >= self._slot_limit(service):
+            self._slot_released.clear()
+            await self._slot_released.wait()
         self._running[service] = self._running.get(service, 0) + 1
 
-    def _leave(self, service: ServiceName) -> None:
+    def _release_slot(self, service: ServiceName) -> None:
         self._running[service] -= 1
-        self._freed.set()
+        self._slot_released.set()
 
-    def _limit(self, service: ServiceName) -> int:
+    def _slot_limit(self, service: ServiceName) -> int:
         endpoints = self._directory.of_service(service)
         slots = sum(each.endpoint.slots for each in endpoints)
-        return max(int(MAX_SHARE * slots), 1)
+        return max(int(MAX_SLOT_SHARE * slots), 1)
 
 
 def _path(target: str) -> str:
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -15,7 +15,7 @@
 from bankrudder.batches._repository import (
     OWNERS_TABLE,
     BatchRepository,
-    row_trouble,
+    store_failure_reason,
 )
 from bankrudder.batches._run import BatchRun
 from bankrudder.batches._scoring import Scorer
@@ -39,12 +39,12 @@
 )
 from bankrudder.world import Clock
 
-OWNERS_SHARE = 0.2
-OWNERS_WAIT_S = 0.8
+OWNERS_READ_SHARE = 0.2
+MIN_OWNERS_WAIT_S = 0.8
 """Share of the reads of the store that the owners' rows may take, and the shortest time
 for which these reads may be held."""
 
-LOOK_S = 0.15
+TAKEOVER_CHECK_INTERVAL_S = 0.15
 """How often batches without an owner are looked for."""
 
 _log = structlog.get_logger("batches")
@@ -76,10 +76,10 @@
         loaded: TableFollower | None = None,
     ):
         self._tracer = tracer
-        self._loaded = loaded
-        self._following: asyncio.Task[None] | None = None
+        self._loaded_follower = loaded
+        self._load_following: asyncio.Task[None] | None = None
         self._repository = repository
-        self._progress = progress
+        self._progress_store = progress
         self._loader = BatchLoader(repository, progress, routes)
         self._presence = presence
         self._directory = directory
@@ -88,11 +88,11 @@
         self._scorer = scorer
         self._clock = clock
         self._dispatcher = Dispatcher(directory, clock)
-        self._pace = TokenPace()
+        self._token_pace = TokenPace()
         self._owners = OwnerBook(presence, clock, lambda: self._follower.is_loaded)
         self._carried = CarriedSamples()
-        self._runs: dict[BatchId, asyncio.Task[None]] = {}
-        self._batches: dict[BatchId, BatchRun] = {}
+        self._tasks: dict[BatchId, asyncio.Task[None]] = {}
+        self._runs: dict[BatchId, BatchRun] = {}
         self._fences: dict[BatchId, RowVersion] = {}
         self._is_leaving = False
         self._background: set[asyncio.Task[None]] = set()
@@ -100,9 +100,9 @@
             store,
             OWNERS_TABLE,
             clock,
-            on_row=self._on_owner,
-            on_removed=self._on_ended,
-            wait_s=pace.pause(OWNERS_SHARE, OWNERS_WAIT_S),
+            on_row=self._on_owner_row,
+            on_removed=self._on_owner_removed,
+            wait_s=pace.pause(OWNERS_READ_SHARE, MIN_OWNERS_WAIT_S),
         )
 
     @property
@@ -113,7 +113,7 @@
     @property
     def running_count(self) -> int:
         """Number of batches that this host works on."""
-        return len(self._runs)
+        return len(self._tasks)
 
     @property
     def waiting_count(self) -> int:
@@ -130,7 +130,9 @@
         NotSettledError
             If that is not known.
         """
-        owner = self._owners.pick(batch, may_be_me=not self._is_leaving)
+        owner = self._owners.choose_owner(
+            batch, may_choose_this_host=not self._is_leaving
+        )
         outcome = await self._repository.accept(batch, owner)
         _log.info(
             "batches: accepted" if outcome.fence else "batches: accepted before",
@@ -141,7 +143,7 @@
             is_same=outcome.is_same,
         )
         if outcome.fence and self._owners.is_mine(owner):
-            self._begin(batch.id, outcome.fence, batch)
+            self._start_work(batch.id, outcome.fence, batch)
         return outcome.is_same
 
     async def run(self) -> None:
@@ -149,7 +151,7 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._dispatcher.run())
-            group.create_task(self._look_for_ownerless())
+            group.create_task(self._take_over_ownerless())
 
     async def release_all(self) -> bool:
         """Hand all batches over to other hosts, with what was generated.
@@ -160,25 +162,29 @@
             Whether none is left; if not, work on the rest goes on here.
         """
         self._is_leaving = True
-        for batch_id in list(self._runs):
-            await self._release(batch_id)
-        return not self._runs
+        for batch_id in list(self._tasks):
+            await self._hand_over(batch_id)
+        return not self._tasks
 
-    async def _release(self, batch_id: BatchId) -> None:
-        run = self._batches.get(batch_id)
+    async def _hand_over(self, batch_id: BatchId) -> None:
+        run = self._runs.get(batch_id)
         fence = self._fences.get(batch_id)
         if run is None or fence is None:
             await self._stop(batch_id)
             return
-        if not await self._progress.save(run.batch.model, run.unfinished()):
+        if not await self._progress_store.save(
+            run.batch.model, run.unfinished_progress()
+        ):
             return
         before = self._owners.get(batch_id) or Owner("", "", run.batch.model)
-        nobody = msgspec.structs.replace(before, host="", lifetime="")
+        unowned = msgspec.structs.replace(before, host="", lifetime="")
         try:
-            is_released = await self._repository.set_owner(batch_id, fence, nobody)
+            is_released = await self._repository.set_owner(batch_id, fence, unowned)
         except (StoreUnavailableError, NotSettledError) as error:
             _log.warning(
-                "batches: not handed over", batch=batch_id, reason=row_trouble(error)
+                "batches: not handed over",
+                batch=batch_id,
+                reason=store_failure_reason(error),
             )
             return
         if is_released is None:
@@ -187,24 +193,24 @@
             _log.info("batches: handed over", batch=batch_id)
         await self._stop(batch_id)
 
-    def _begin(
+    def _start_work(
         self, batch_id: BatchId, fence: RowVersion, batch: Batch | None = None
     ) -> None:
-        if batch_id in self._runs:
+        if batch_id in self._tasks:
             if self._fences.get(batch_id) == fence:
                 return
-            self._runs[batch_id].cancel()
+            self._tasks[batch_id].cancel()
         self._fences[batch_id] = fence
         task = asyncio.ensure_future(self._work(batch_id, fence, batch))
-        self._runs[batch_id] = task
-        self._follow_loads()
+        self._tasks[batch_id] = task
+        self._update_load_following()
         self._presence.set_busy(True)
-        task.add_done_callback(lambda done: self._forget(batch_id, done))
+        task.add_done_callback(lambda done: self._on_work_done(batch_id, done))
 
-    def _forget(self, batch_id: BatchId, task: "asyncio.Task[None]") -> None:
-        if self._runs.get(batch_id) is task:
-            del self._runs[batch_id]
-            self._batches.pop(batch_id, None)
+    def _on_work_done(self, batch_id: BatchId, task: "asyncio.Task[None]") -> None:
+        if self._tasks.get(batch_id) is task:
+            del self._tasks[batch_id]
+            self._runs.pop(batch_id, None)
         if not task.cancelled() and task.exception() is not None:
             _log.error(
                 "batches: work failed", batch=batch_id, exc_info=task.exception()
@@ -221,23 +227,23 @@
         carried = self._carried.note(batch)
         run = BatchRun(
             batch,
-            self._loader.route_now,
+            self._loader.find_route,
             fence,
             listed,
             progress,
             retention_s,
             carried,
             repository=self._repository,
-            progress_store=self._progress,
+            progress_store=self._progress_store,
             dispatcher=self._dispatcher,
-            pace=self._pace,
+            pace=self._token_pace,
             scorer=self._scorer,
             client=self._client,
             crashes=self._crashes,
             clock=self._clock,
             tracer=self._tracer,
         )
-        self._batches[batch_id] = run
+        self._runs[batch_id] = run
         _log.info(
             "batches: work begins",
             batch=batch_id,
@@ -247,92 +253,94 @@
             carried=len(carried),
         )
         await run.run()
-        useless = run.saved_and_listed()
-        if useless:
-            await self._progress.drop(batch.model, useless)
+        obsolete = run.obsolete_progress()
+        if obsolete:
+            await self._progress_store.drop(batch.model, obsolete)
 
     async def _stop(self, batch_id: BatchId) -> None:
-        task = self._runs.get(batch_id)
+        task = self._tasks.get(batch_id)
         if task is not None:
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    def _on_owner(self, row: Row) -> None:
+    def _on_owner_row(self, row: Row) -> None:
         batch_id = BatchId(row.key.part)
         owner = msgspec.json.decode(row.value, type=Owner)
         self._owners.put(batch_id, owner, row.version)
         fence = self._fences.get(batch_id, ABSENT)
         is_mine = self._owners.is_mine(owner)
-        if not is_mine and batch_id in self._runs and row.version > fence:
+        if not is_mine and batch_id in self._tasks and row.version > fence:
             _log.warning("batches: lost to another owner", batch=batch_id)
-            self._runs[batch_id].cancel()
+            self._tasks[batch_id].cancel()
         if is_mine and not self._is_leaving and row.version > fence:
             # The reply to the acceptance or the takeover was lost.
-            self._begin(batch_id, row.version)
+            self._start_work(batch_id, row.version)
 
-    def _on_ended(self, key: RowKey) -> None:
+    def _on_owner_removed(self, key: RowKey) -> None:
         batch_id = BatchId(key.part)
         self._owners.remove(batch_id)
         self._fences.pop(batch_id, None)
-        run = self._batches.get(batch_id)
-        if batch_id in self._runs:
+        run = self._runs.get(batch_id)
+        if batch_id in self._tasks:
             _log.info("batches: ended", batch=batch_id)
-            self._runs[batch_id].cancel()
+            self._tasks[batch_id].cancel()
         if run is not None:
-            self._spawn(self._keep_progress(run))
+            self._spawn(self._save_unfinished(run))
 
-    async def _keep_progress(self, run: BatchRun) -> None:
+    async def _save_unfinished(self, run: BatchRun) -> None:
         """Keep what a batch leaves behind, and nothing else of it."""
-        unfinished = run.unfinished()
-        await self._progress.save(run.batch.model, unfinished)
-        left = {sample_id for sample_id, _ in unfinished}
-        useless = [key for key in run.saved_and_listed() if key not in left]
-        if useless:
-            await self._progress.drop(run.batch.model, useless)
+        unfinished_progress = run.unfinished_progress()
+        await self._progress_store.save(run.batch.model, unfinished_progress)
+        unfinished_ids = {sample_id for sample_id, _ in unfinished_progress}
+        obsolete = [key for key in run.obsolete_progress() if key not in unfinished_ids]
+        if obsolete:
+            await self._progress_store.drop(run.batch.model, obsolete)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _look_for_ownerless(self) -> None:
+    async def _take_over_ownerless(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
-            self._follow_loads()
-            self._presence.set_busy(bool(self._runs))
+            await asyncio.sleep(TAKEOVER_CHECK_INTERVAL_S)
+            self._update_load_following()
+            self._presence.set_busy(bool(self._tasks))
             if self._is_leaving or self._follower.lost_since is not None:
                 continue
-            for batch_id, owner, version in self._owners.due_for_me():
+            for batch_id, owner, version in self._owners.takeover_candidates():
                 await self._take_over(batch_id, owner, version)
 
-    def _follow_loads(self) -> None:
+    def _update_load_following(self) -> None:
         """Follow the loaded versions while there is work, as each change is a read."""
-        if self._loaded is None:
+        if self._loaded_follower is None:
             return
-        if self._runs and self._following is None:
-            self._following = asyncio.ensure_future(self._follow_until_done())
-        elif not self._runs and self._following is not None:
-            self._following.cancel()
-            self._following = None
+        if self._tasks and self._load_following is None:
+            self._load_following = asyncio.ensure_future(self._follow_loaded_versions())
+        elif not self._tasks and self._load_following is not None:
+            self._load_following.cancel()
+            self._load_following = None
 
-    async def _follow_until_done(self) -> None:
-        assert self._loaded is not None
+    async def _follow_loaded_versions(self) -> None:
+        assert self._loaded_follower is not None
         while True:
             try:
-                await self._loaded.run()
+                await self._loaded_follower.run()
             except Exception:
                 _log.exception("batches: loaded versions not followed, trying again")
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(TAKEOVER_CHECK_INTERVAL_S)
 
     async def _take_over(
         self, batch_id: BatchId, before: Owner, version: RowVersion
     ) -> None:
-        owner = self._owners.mine(before)
+        owner = self._owners.claimed_row(before)
         try:
             fence = await self._repository.set_owner(batch_id, version, owner)
         except (StoreUnavailableError, NotSettledError) as error:
             _log.warning(
-                "batches: not taken over", batch=batch_id, reason=row_trouble(error)
+                "batches: not taken over",
+                batch=batch_id,
+                reason=store_failure_reason(error),
             )
             return
         if fence is None:
@@ -345,4 +353,4 @@
             lifetime_before=before.lifetime,
         )
         self._owners.put(batch_id, owner, fence)
-        self._begin(batch_id, fence)
+        self._start_work(batch_id, fence)
--- a/src/bankrudder/batches/_text.py
+++ b/src/bankrudder/batches/_text.py
@@ -79,7 +79,7 @@
         self._events.append(event.data)
         self._next_number = event.number + 1
 
-    def discard(self) -> None:
+    def clear(self) -> None:
         """Begin anew."""
         self._events = []
         self._versions = []
@@ -93,7 +93,7 @@
         self._version_events[self._versions.index(version)] += 1
 
 
-def fits(progress: Progress, min_version: ModelVersion, *, single: bool) -> bool:
+def can_resume(progress: Progress, min_version: ModelVersion, *, single: bool) -> bool:
     """Whether kept text may be used.
 
     Parameters
--- a/src/bankrudder/batches/_values.py
+++ b/src/bankrudder/batches/_values.py
@@ -173,6 +173,6 @@
     next_position: int
 
     @property
-    def is_enough(self) -> bool:
+    def ends_wait(self) -> bool:
         """Whether a reader gains nothing by waiting for more."""
         return bool(self.results) or self.next_position >= self.sample_count
--- a/tests/batches/test_cleaning.py
+++ b/tests/batches/test_cleaning.py
@@ -3,9 +3,9 @@
 import pytest
 
 from bankrudder.batches import Cleaner
-from bankrudder.batches._cleaning import MARGIN_S, MAX_OPEN_S
+from bankrudder.batches._cleaning import MAX_OPEN_S, RETENTION_MARGIN_S
 from bankrudder.batches._values import Progress
-from batches.test_repository import ME, batch
+from batches.test_repository import THIS_OWNER, batch
 
 RETENTION_S = 120.0
 
@@ -16,7 +16,7 @@
     is_valid = True
 
 
-class MovableTime:
+class StoreWithManualTime:
     """Passes calls on; commits tell a store time that is moved by hand."""
 
     def __init__(self, store):
@@ -32,55 +32,57 @@
 
 
 @pytest.fixture
-def timed(store):
-    return MovableTime(store)
+def timed_store(store):
+    return StoreWithManualTime(store)
 
 
 @pytest.fixture
-def cleaner(timed, repository):
-    return Cleaner(timed, repository, HeldLease(), RETENTION_S)
+def cleaner(timed_store, repository):
+    return Cleaner(timed_store, repository, HeldLease(), RETENTION_S)
 
 
-async def test_an_ended_batch_goes_after_its_retention(cleaner, timed, repository):
-    await repository.accept(batch(), ME)
+async def test_an_ended_batch_is_removed_after_its_retention(
+    cleaner, timed_store, repository
+):
+    await repository.accept(batch(), THIS_OWNER)
     await repository.end("b1")
     await cleaner.clean()
-    timed.now_s += RETENTION_S
+    timed_store.now_s += RETENTION_S
     await cleaner.clean()
     assert await repository.head("b1") is not None
-    timed.now_s += MARGIN_S
+    timed_store.now_s += RETENTION_MARGIN_S
     await cleaner.clean()
     assert await repository.head("b1") is None
 
 
-async def test_an_open_batch_stays(cleaner, timed, repository):
-    await repository.accept(batch(), ME)
+async def test_an_open_batch_is_kept(cleaner, timed_store, repository):
+    await repository.accept(batch(), THIS_OWNER)
     for _ in range(3):
         await cleaner.clean()
-        timed.now_s += 10 * RETENTION_S
+        timed_store.now_s += 10 * RETENTION_S
     assert await repository.load("b1") == batch()
 
 
-async def test_progress_that_nobody_takes_up_goes(cleaner, timed, progress_store):
+async def test_unused_progress_is_removed(cleaner, timed_store, progress_store):
     await progress_store.save("m", [("s1", Progress(("a",), (1,), 1))])
     await cleaner.clean()
-    timed.now_s += RETENTION_S + MARGIN_S
+    timed_store.now_s += RETENTION_S + RETENTION_MARGIN_S
     await progress_store.save("m", [("s2", Progress(("a",), (1,), 1))])
     await cleaner.clean()
     assert len(await progress_store.of_model("m")) == 2
-    timed.now_s += RETENTION_S + MARGIN_S
+    timed_store.now_s += RETENTION_S + RETENTION_MARGIN_S
     await cleaner.clean()
     assert await progress_store.of_model("m") == {}
 
 
 async def test_a_batch_that_nobody_ends_is_ended_after_an_hour(
-    cleaner, timed, repository
+    cleaner, timed_store, repository
 ):
-    await repository.accept(batch(), ME)
+    await repository.accept(batch(), THIS_OWNER)
     await cleaner.clean()
-    timed.now_s += MAX_OPEN_S - 1
+    timed_store.now_s += MAX_OPEN_S - 1
     await cleaner.clean()
     assert await repository.owner("b1") is not None
-    timed.now_s += 1
+    timed_store.now_s += 1
     await cleaner.clean()
     assert await repository.owner("b1") is None
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from bankrudder.batches._ownership import WORK_WEIGHT, OwnerBook
+from bankrudder.batches._ownership import NEWEST_BATCH_WEIGHT, OwnerBook
 from bankrudder.batches._values import Owner
 from bankrudder.presence import Presence
 
 
 @pytest.fixture
-def book(store, hand_clock):
+def owners(store, hand_clock):
     return OwnerBook(Presence(store, "h", "life", hand_clock), hand_clock)
 
 
@@ -16,34 +16,34 @@
     return Owner(host="other", lifetime="other-life", model=model)
 
 
-async def test_how_long_batches_are_open_is_known_once_one_ended(book, hand_clock):
-    book.put("b1", owner(), 1)
+async def test_the_open_time_is_known_once_a_batch_ended(owners, hand_clock):
+    owners.put("b1", owner(), 1)
     hand_clock.advance(4.0)
-    assert book.open_seconds() == {}
-    book.remove("b1")
-    assert book.open_seconds() == {"m": 4.0}
+    assert owners.open_seconds() == {}
+    owners.remove("b1")
+    assert owners.open_seconds() == {"m": 4.0}
 
 
-async def test_the_latest_batches_count_most(book, hand_clock):
+async def test_the_newest_batch_has_a_fixed_weight_in_the_mean(owners, hand_clock):
     for name, seconds in (("b1", 4.0), ("b2", 8.0)):
-        book.put(name, owner(), 1)
+        owners.put(name, owner(), 1)
         hand_clock.advance(seconds)
-        book.remove(name)
-    mean = 4.0 + WORK_WEIGHT * 4.0
-    assert book.open_seconds() == {"m": pytest.approx(mean)}
+        owners.remove(name)
+    mean = 4.0 + NEWEST_BATCH_WEIGHT * 4.0
+    assert owners.open_seconds() == {"m": pytest.approx(mean)}
 
 
-async def test_a_change_of_owner_is_no_new_batch(book, hand_clock):
-    book.put("b1", owner(), 1)
+async def test_a_change_of_owner_does_not_restart_the_open_time(owners, hand_clock):
+    owners.put("b1", owner(), 1)
     hand_clock.advance(3.0)
-    book.put("b1", owner(), 2)
+    owners.put("b1", owner(), 2)
     hand_clock.advance(3.0)
-    book.remove("b1")
-    book.remove("b1")
-    assert book.open_seconds() == {"m": 6.0}
+    owners.remove("b1")
+    owners.remove("b1")
+    assert owners.open_seconds() == {"m": 6.0}
 
 
-class HostsAsRead:
+class FakePresence:
     """What is known of the hosts, up to some version of the store: this one runs."""
 
     host = "h"
@@ -65,18 +65,18 @@
         return 1.0
 
 
-async def test_an_owner_is_not_lost_before_its_first_heartbeat_can_be_known(hand_clock):
-    hosts = HostsAsRead(read_version=5)
-    book = OwnerBook(hosts, hand_clock)
-    book.put("b1", owner(), 6)
-    assert list(book.due_for_me()) == []
+async def test_an_owner_newer_than_the_hosts_read_is_not_replaced(hand_clock):
+    hosts = FakePresence(read_version=5)
+    owners = OwnerBook(hosts, hand_clock)
+    owners.put("b1", owner(), 6)
+    assert list(owners.takeover_candidates()) == []
     hosts.read_version = 6
-    assert [batch for batch, _, _ in book.due_for_me()] == ["b1"]
+    assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
 
 
-async def test_an_owner_that_ended_before_the_hosts_were_read_is_lost_at_once(
+async def test_an_owner_missing_from_the_hosts_read_is_replaced_at_once(
     hand_clock,
 ):
-    book = OwnerBook(HostsAsRead(read_version=9), hand_clock)
-    book.put("b1", owner(), 6)
-    assert [batch for batch, _, _ in book.due_for_me()] == ["b1"]
+    owners = OwnerBook(FakePresence(read_version=9), hand_clock)
+    owners.put("b1", owner(), 6)
+    assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
--- a/tests/batches/test_repository.py
+++ b/tests/batches/test_repository.py
@@ -12,8 +12,8 @@
     SampleResult,
 )
 
-ME = Owner("host-1", "life-1", "m")
-OTHER = Owner("host-2", "life-2", "m")
+THIS_OWNER = Owner("host-1", "life-1", "m")
+OTHER_OWNER = Owner("host-2", "life-2", "m")
 
 
 def batch(samples=3, body=b"body", batch_id="b1"):
@@ -36,7 +36,7 @@
 
 
 async def test_a_batch_is_read_as_it_was_accepted(repository):
-    accepted = await repository.accept(batch(), ME)
+    accepted = await repository.accept(batch(), THIS_OWNER)
     assert accepted.fence > 0
     assert await repository.load("b1") == batch()
     assert (await repository.head("b1")).sample_count == 3
@@ -44,29 +44,29 @@
 
 async def test_a_large_batch_is_kept_as_an_object(repository, rows):
     large = batch(samples=20, body=bytes(50_000))
-    await repository.accept(large, ME)
+    await repository.accept(large, THIS_OWNER)
     assert len(rows.objects) == 1
     assert await repository.load("b1") == large
 
 
-async def test_the_second_acceptance_changes_nothing(repository):
-    await repository.accept(batch(), ME)
-    again = await repository.accept(batch(), OTHER)
+async def test_accepting_a_batch_again_changes_nothing(repository):
+    await repository.accept(batch(), THIS_OWNER)
+    again = await repository.accept(batch(), OTHER_OWNER)
     assert (again.fence, again.is_same) == (0, True)
-    different = await repository.accept(batch(samples=4), OTHER)
+    different = await repository.accept(batch(samples=4), OTHER_OWNER)
     assert (different.fence, different.is_same) == (0, False)
     assert b"host-1" in (await repository.owner("b1")).value
 
 
 async def test_an_acceptance_whose_reply_was_lost_is_kept_once(repository, gate):
     gate.lose_replies = 1
-    accepted = await repository.accept(batch(), ME)
+    accepted = await repository.accept(batch(), THIS_OWNER)
     assert accepted.is_same
     assert await repository.load("b1") == batch()
 
 
 async def test_results_stay_at_their_positions(repository):
-    fence = (await repository.accept(batch(), ME)).fence
+    fence = (await repository.accept(batch(), THIS_OWNER)).fence
     assert await repository.add_results("b1", fence, 0, [result(2), result(0)])
     assert await repository.add_results("b1", fence, 2, [result(1)])
     assert await repository.results("b1", 0) == (result(2), result(0), result(1))
@@ -74,41 +74,41 @@
 
 
 async def test_a_result_larger_than_a_row_comes_back_whole(repository):
-    fence = (await repository.accept(batch(), ME)).fence
+    fence = (await repository.accept(batch(), THIS_OWNER)).fence
     large = result(0, "x" * 200_000)
     await repository.add_results("b1", fence, 0, [large, result(1)])
     assert await repository.results("b1", 0) == (large, result(1))
 
 
-async def test_a_deposed_owner_lists_nothing(repository):
-    fence = (await repository.accept(batch(), ME)).fence
-    taken = await repository.set_owner("b1", fence, OTHER)
+async def test_a_replaced_owner_lists_nothing(repository):
+    fence = (await repository.accept(batch(), THIS_OWNER)).fence
+    taken = await repository.set_owner("b1", fence, OTHER_OWNER)
     assert taken > fence
     assert not await repository.add_results("b1", fence, 0, [result(0)])
     assert await repository.results("b1", 0) == ()
-    assert await repository.set_owner("b1", fence, ME) is None
+    assert await repository.set_owner("b1", fence, THIS_OWNER) is None
 
 
-async def test_a_late_listing_of_a_deposed_owner_is_refused(repository, gate):
-    fence = (await repository.accept(batch(), ME)).fence
+async def test_a_delayed_listing_by_a_replaced_owner_is_refused(repository, gate):
+    fence = (await repository.accept(batch(), THIS_OWNER)).fence
     gate.delay_commits = 1
     assert await repository.add_results("b1", fence, 0, [result(0)])
-    await repository.set_owner("b1", fence, OTHER)
+    await repository.set_owner("b1", fence, OTHER_OWNER)
     assert gate.carry_out_delayed() == 0
 
 
 async def test_an_ended_batch_takes_no_results_and_stays_readable(repository):
-    fence = (await repository.accept(batch(), ME)).fence
+    fence = (await repository.accept(batch(), THIS_OWNER)).fence
     await repository.add_results("b1", fence, 0, [result(0)])
     assert await repository.end("b1")
     assert await repository.end("b1")
     assert not await repository.add_results("b1", fence, 1, [result(1)])
     assert await repository.results("b1", 0) == (result(0),)
     # It is not accepted anew.
-    assert (await repository.accept(batch(), ME)).fence == 0
+    assert (await repository.accept(batch(), THIS_OWNER)).fence == 0
 
 
-async def test_an_unknown_batch_has_no_end(repository):
+async def test_an_unknown_batch_is_neither_ended_nor_loaded(repository):
     assert not await repository.end("none")
     with pytest.raises(UnknownBatchError):
         await repository.load("none")
--- a/tests/batches/test_scoring.py
+++ b/tests/batches/test_scoring.py
@@ -57,16 +57,16 @@
     assert await score(SCORED) == "receipt"
 
 
-async def test_a_call_goes_on_while_fewer_answers_failed_than_allowed(score):
+async def test_a_call_is_retried_while_fewer_answers_failed_than_allowed(score):
     assert await score(failed(1), failed(1), SCORED) == "receipt"
 
 
-async def test_a_call_is_given_up_after_as_many_failed_answers(score):
+async def test_a_call_is_given_up_after_the_allowed_failed_answers(score):
     with pytest.raises(ScoreFailedError):
         await score(failed(2), failed(1))
 
 
-async def test_a_call_without_an_answer_is_made_again(score):
+async def test_a_call_without_an_answer_is_retried(score):
     lost = Unanswered(RejectReason.OUT_OF_TIME, is_timeout=True)
     refused = NotRun(RejectReason.FULL, 0.1)
     assert await score(lost, refused, lost, SCORED) == "receipt"
--- a/tests/batches/test_text.py
+++ b/tests/batches/test_text.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bankrudder.batches._text import SampleText, fits
+from bankrudder.batches._text import SampleText, can_resume
 from bankrudder.batches._values import Progress
 from bankrudder.fleet import StreamBrokenError, StreamEvent
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("number", [0, 1, 3])
-def test_an_event_out_of_turn_breaks_the_text(number):
+def test_an_event_out_of_order_is_rejected(number):
     text = SampleText()
     text.add(event(0), 1)
     text.add(event(1), 1)
@@ -30,7 +30,7 @@
     assert len(text) == 2
 
 
-def test_text_goes_on_from_what_was_kept():
+def test_text_resumes_from_saved_progress():
     text = SampleText()
     text.add(event(0), 2)
     later = SampleText()
@@ -50,6 +50,8 @@
         ((), (), False, False),
     ],
 )
-def test_kept_text_fits_by_its_versions(versions, events, single, expected):
+def test_saved_text_can_resume_depending_on_its_versions(
+    versions, events, single, expected
+):
     progress = Progress(("e0",), versions, 1, False, events)
-    assert fits(progress, 3, single=single) is expected
+    assert can_resume(progress, 3, single=single) is expected
