--- a/src/bankrudder/batches/__init__.py
+++ b/src/bankrudder/batches/__init__.py
@@ -1,4 +1,9 @@
-"""Batches of samples: acceptance, work on them, results."""
+"""Batches of samples: acceptance, generation, and delivery of the results.
+
+A batch holds the samples of one step of a trainer. One host owns it: it generates the
+samples on the engines, scores them and writes their results to the store. Any host can
+accept a batch, answer reads of it, or take it over when its owner is lost.
+"""
 
 from bankrudder.batches._cleaning import CLEANING_PAUSE_S, Cleaner
 from bankrudder.batches._ownership import OwnerBook
--- a/src/bankrudder/batches/_carried.py
+++ b/src/bankrudder/batches/_carried.py
@@ -1,9 +1,9 @@
-"""Which samples of a batch were in an earlier one.
+"""Samples that are carried over from an earlier batch of the same model.
 
-A group that was not whole when its batch ended may come again in a later one, whose
-trainer then waits for it. The store does not tell: text that was listed whole and not
-read in time is kept nowhere else. So the host that works on a model's batches remembers
-the names.
+A trainer may submit a group that was incomplete when its batch ended again in a later
+batch, and then waits for it. The store cannot tell such samples: no progress is saved
+for a sample whose result was listed but not read in time. So the host that works on a
+model's batches keeps their sample identifiers in memory.
 """
 
 from collections import deque
@@ -13,18 +13,18 @@
 from bankrudder.world import SampleId
 
 REMEMBERED_BATCHES = 6
-"""Batches of a model whose samples are remembered; groups come again two or three
-batches later."""
+"""Latest batches of a model whose sample identifiers are kept; groups are submitted
+again two or three batches later."""
 
 
 class CarriedSamples:
-    """Remembers the samples of the latest batches of each model."""
+    """The sample identifiers of the latest batches of each model."""
 
     def __init__(self) -> None:
         self._latest: dict[ModelName, deque[tuple[BatchId, frozenset[SampleId]]]] = {}
 
     def note(self, batch: Batch) -> frozenset[SampleId]:
-        """Remember a batch; return those of its samples that earlier ones had."""
+        """Record a batch; return those of its samples that earlier batches had."""
         sample_ids = frozenset(sample.id for sample in batch.samples)
         latest = self._latest.setdefault(batch.model, deque(maxlen=REMEMBERED_BATCHES))
         earlier_ids = [known for batch_id, known in latest if batch_id != batch.id]
--- a/src/bankrudder/batches/_cleaning.py
+++ b/src/bankrudder/batches/_cleaning.py
@@ -1,7 +1,8 @@
-"""Removal of batches that nobody may ask for any more.
+"""Removal of batches and progress whose retention is over.
 
-One host removes, under a lease. It goes by the store's own steady clock, which a
-row of its own tells, so that a restart forgets no batch.
+One host at a time cleans, under a lease. Ages are measured with the store's clock,
+which a commit returns. The time at which a batch was first seen ended is kept in a row,
+so that the age survives a restart of the host.
 """
 
 import msgspec
@@ -26,18 +27,18 @@
 )
 
 CLEANING_PAUSE_S = 20.0
-"""How often the store is looked through: a sixth of the usual retention."""
+"""Pause between two passes over the store: a sixth of the usual retention."""
 
 MAX_OPEN_S = 3600.0
-"""Time after which a batch that its trainer never ended is ended for it: nine times as
-long as the largest steps may take."""
+"""Time after which a batch is ended if its trainer has not ended it: nine times the
+longest time that the largest steps may take."""
 
 RETENTION_MARGIN_S = 30.0
-"""Time beyond the retention for which a batch is kept, for late readers."""
+"""Time for which a batch is kept beyond its retention, for late readers."""
 
 FIRST_SEEN_TABLE = "cleaning"
-"""Part: batch, ``open/BATCH`` or ``progress/MODEL``; one row that tells when it was
-first found to be ended, or open, in seconds of the store's clock."""
+"""Table of first sights. The part is the identifier of an ended batch, ``open/BATCH``
+for an open one, or ``progress/MODEL``; its one row holds a `FirstSeen`."""
 
 _FIRST_SEEN_KEY = "ended"
 
@@ -45,15 +46,15 @@
 
 
 class FirstSeen(msgspec.Struct, frozen=True):
-    """When something was first found to be ended, in the store's time."""
+    """Store time at which a batch or some progress was first seen in its state."""
 
     store_time_s: float
 
 
 class Cleaner:
-    """Removes ended batches after their retention, and progress nobody took up.
+    """Removes ended batches and unused progress after their retention.
 
-    Batches that nobody ends are ended after an hour.
+    Batches that their trainers do not end are ended after `MAX_OPEN_S`.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         self._min_age_s = retention_s + RETENTION_MARGIN_S
 
     async def clean(self) -> None:
-        """Look through the store once."""
+        """Make one pass over the batches and the progress in the store."""
         now_s = await self._store_time()
         if now_s is None:
             return
@@ -88,7 +89,7 @@
             await self._clean_progress(model, now_s)
 
     async def _end_abandoned(self, name: str, now_s: float) -> None:
-        """End a batch that has been open for too long; its trainer must be gone."""
+        """End a batch that has been open for `MAX_OPEN_S`: its trainer must be lost."""
         open_part = f"open/{name}"
         if not self._lease.is_valid or not await self._is_due(
             open_part, now_s, MAX_OPEN_S
@@ -97,9 +98,11 @@
         try:
             await self._repository.end(BatchId(name))
         except NotSettledError:
-            return  # looked at again next time
+            return  # the next pass tries again
         await self._clear_first_seen(open_part)
-        _log.warning("batches: ended for a trainer that did not", batch=name)
+        _log.warning(
+            "batches: ended, as its trainer did not end it in time", batch=name
+        )
 
     async def _store_time(self) -> float | None:
         key = RowKey(FIRST_SEEN_TABLE, "clock", "clock")
@@ -113,7 +116,7 @@
     async def _is_due(
         self, name: str, now_s: float, min_age_s: float | None = None
     ) -> bool:
-        """Whether something has been so for long enough; notes it at first."""
+        """Whether a part was first seen `min_age_s` ago; record the first sight."""
         min_age_s = self._min_age_s if min_age_s is None else min_age_s
         page = await self._store.read(FIRST_SEEN_TABLE, name)
         if page.rows:
@@ -129,7 +132,7 @@
         await self._store.commit(Transaction(removals=(key,)))
 
     async def _clean_progress(self, model: str, now_s: float) -> None:
-        """Remove progress that has not changed between two looks, long apart."""
+        """Remove a model's progress if no row of it changed for the retention."""
         page = await self._store.read(PROGRESS_TABLE, model, limit=500)
         name = f"progress/{model}"
         newest = max((row.version for row in page.rows), default=0)
--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -1,4 +1,8 @@
-"""Sharing of the engines' slots among the samples of all batches on this host."""
+"""Assignment of engine slots to the samples of all batches on this host.
+
+Waiting samples are served by rank. Each gets a slot on the engine that
+`placement_order` prefers among those that are free and have recent enough weights.
+"""
 
 import asyncio
 import heapq
@@ -12,33 +16,36 @@
 from bankrudder.world import Clock, DataCentreName, GroupId, ModelVersion, SampleId
 
 RECHECK_INTERVAL_S = 0.05
-"""While samples wait, the engines are looked at this often, for changes that no
-sample brings about. As often, all engines are searched for those with fresh enough
-weights: a search for each sample took 0.9 s for a step of 96 before 3,000 engines."""
+"""Interval at which waiting samples are matched with the engines again, for changes
+that do not come from a sample. A list of the engines with recent enough weights is
+reused for as long: with one search for each sample, a step of 96 samples took 0.9 s
+before 3,000 engines."""
 
 REFUSAL_PAUSE_S = 0.1
-"""An engine that refused is left alone for this long: it is full, or it takes new
-weights, which lasts a second."""
+"""Time for which an engine gets no samples of a model after it refused one: it is full,
+or it loads new weights, which takes a second."""
 
 UNTRUSTED_SLOT_COUNT = 1
-"""Samples that an engine gets which failed and has shown no sign of life since: one
-shows whether it is back. It comes last and is never moved to, as a sample on an engine
-that is dark waits for a second or more."""
+"""Slots that are used of an engine that failed and has sent nothing since: one sample
+shows whether it is back. Such an engine is chosen last, and no running sample moves to
+it, as a sample on an engine that does not answer waits for a second or more."""
 
 RESERVATION_EVENT_COUNT = 8
-"""Events of its engine for which a slot is kept for a running sample that would gain by
-moving: two of its looks, so that it finds the slot also where events are slow."""
+"""Length of a reservation for a running sample that would gain by moving, in events of
+its present engine: two of its move checks, so that it finds the slot on a slow engine
+as well."""
 
 MAX_RESERVED_SHARE = 0.5
-"""Share of an engine's slots that may be kept so; the rest is for samples that wait."""
+"""Largest share of an engine's slots that may be reserved; waiting samples get the
+others."""
 
 
 @dataclass(frozen=True)
 class SlotDemand:
-    """What a sample asks of an engine; lower ranks go first.
+    """What a sample requires of an engine; lower ranks are served first.
 
-    A suspect, under which engines ended, goes to none with another suspect, as nobody
-    could tell then which of them ended it.
+    A suspect is a sample under which engines crashed. An engine runs one suspect at a
+    time, as a crash could not be attributed to one of several.
     """
 
     sample: SampleId
@@ -53,7 +60,7 @@
 
 @dataclass(frozen=True)
 class _EligibleEngines:
-    """Engines with fresh enough weights for some samples, as found at one time."""
+    """Result of a search for engines with recent enough weights, valid ``until``."""
 
     engines: list[TrackedEndpoint]
     until: float
@@ -61,7 +68,7 @@
 
 @dataclass(order=True)
 class _SlotRequest:
-    """A sample that waits for a slot."""
+    """A sample that waits for a slot; ``granted`` resolves to the engine."""
 
     rank: tuple[float, ...]
     sequence: int
@@ -70,7 +77,7 @@
 
 
 class Dispatcher:
-    """Gives out slots, by rank, on the engine that should be quickest."""
+    """Grants slots to samples by rank, on the engine expected to be fastest."""
 
     def __init__(self, directory: EndpointDirectory, clock: Clock):
         self._directory = directory
@@ -89,7 +96,7 @@
         return len(self._waiting)
 
     async def acquire(self, demand: SlotDemand) -> TrackedEndpoint:
-        """Wait for a slot; give it back with `release`."""
+        """Wait for a slot; the caller returns it with `release`."""
         granted = asyncio.get_running_loop().create_future()
         request = _SlotRequest(demand.rank, next(self._sequence), demand, granted)
         heapq.heappush(self._waiting, request)
@@ -106,25 +113,30 @@
     def release(
         self, target: TrackedEndpoint, group: GroupId, is_suspect: bool = False
     ) -> None:
-        """Give a slot back."""
+        """Return a slot."""
         target.in_flight -= 1
         target.suspects -= is_suspect
         self._count_group(group, target.run, -1)
         self._grant()
 
     def pause(self, target: TrackedEndpoint, model: ModelName) -> None:
-        """Leave an engine alone for a moment: it refused a sample."""
+        """Send no samples of a model to an engine for `REFUSAL_PAUSE_S`."""
         until = self._clock.monotonic() + REFUSAL_PAUSE_S
         self._paused[target.run, model] = until
 
     def should_move(
         self, demand: SlotDemand, target: TrackedEndpoint, events: int
     ) -> bool:
-        """Whether a running sample of so many events should go on elsewhere.
+        """Whether a running sample should continue on another engine.
+
+        If all engines on which it would gain are full, the next slot of the fastest is
+        reserved for it. Otherwise waiting samples would take each released slot, and
+        samples that are likely to run for long would stay on slow engines.
 
-        If the engines on which it would gain are full, the next slot of the quickest is
-        kept for it for a moment: samples that wait would take each one that is given
-        back, and those that are likely to go on for long would stay where it is slow.
+        Parameters
+        ----------
+        events : int
+            Number of events that the sample has so far.
         """
         if target.event_gap_s is None:
             return False
@@ -147,7 +159,7 @@
         return False
 
     async def run(self) -> None:
-        """Look at the engines while samples wait, until cancelled."""
+        """Match waiting samples with the engines periodically, until cancelled."""
         while True:
             await self._has_waiting.wait()
             await asyncio.sleep(RECHECK_INTERVAL_S)
@@ -217,7 +229,7 @@
         )
 
     def _usable_engines(self, demand: SlotDemand) -> list[TrackedEndpoint]:
-        """Return the engines that take samples of a demand, full or not."""
+        """Return the engines that accept samples of a demand, including full ones."""
         now = self._clock.monotonic()
         return [
             candidate
@@ -228,11 +240,11 @@
     def _is_usable(
         self, candidate: TrackedEndpoint, demand: SlotDemand, now: float
     ) -> bool:
-        """Whether an engine with fresh enough weights takes samples at the moment."""
+        """Whether an engine with recent enough weights accepts samples now."""
         endpoint = candidate.endpoint
         return (
             candidate.takes_work
-            # Its entry may have moved it since it was found.
+            # Its entry may have changed since the search.
             and endpoint.service == demand.service
             and (not demand.data_centres or endpoint.data_centre in demand.data_centres)
             and not candidate.is_suspended(now)
@@ -244,7 +256,7 @@
     def _eligible_engines(
         self, demand: SlotDemand, now: float
     ) -> list[TrackedEndpoint]:
-        """Return the engines with fresh enough weights, searched for now and then."""
+        """Return the engines with recent enough weights, from a cached search."""
         key = (demand.service, demand.model, demand.min_version, demand.data_centres)
         known = self._eligible.get(key)
         if known is not None and now < known.until:
@@ -265,7 +277,7 @@
         return engines
 
     def _has_room(self, candidate: TrackedEndpoint, sample: SampleId) -> bool:
-        """Whether an engine has a slot that is not kept for another sample."""
+        """Whether an engine has a slot that is not reserved for another sample."""
         now = self._clock.monotonic()
         reserved_count = sum(
             run == candidate.run and now < until and other != sample
--- a/src/bankrudder/batches/_failures.py
+++ b/src/bankrudder/batches/_failures.py
@@ -1,9 +1,9 @@
-"""Why a sample or a run of it ends without its text."""
+"""Errors that end a sample, or one run of it on an engine, without its text."""
 
 
 class SampleFailedError(Exception):
-    """A sample cannot be generated, or failed as often as it may."""
+    """A sample cannot be generated, or failed as often as its route allows."""
 
 
 class StaleWeightsError(Exception):
-    """An engine generates with weights that are too old for the batch."""
+    """An engine generates with weights older than the batch allows."""
--- a/src/bankrudder/batches/_loading.py
+++ b/src/bankrudder/batches/_loading.py
@@ -1,4 +1,8 @@
-"""Reading of what an owner needs to work on a batch."""
+"""Reading of what an owner needs to work on a batch.
+
+Reads of the batch and its results are repeated until the store answers. Progress is
+optional: if it cannot be read, the samples are generated from the start.
+"""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -23,19 +27,19 @@
 from bankrudder.world import SampleId
 
 RELOAD_PAUSE_S = 0.2
-"""Pause after a batch could not be read from the store."""
+"""Pause before a failed read of a batch is tried again."""
 
 CONFIGURATION_PAUSE_S = 0.2
-"""Pause while no configuration is known, as after a start."""
+"""Pause between two checks for a configuration; none is known right after a start."""
 
 DEFAULT_RETENTION_S = 60.0
-"""Time for which samples are tried if the route does not say it."""
+"""Time after which samples are given up if their route sets no retention."""
 
 _log = structlog.get_logger("batches")
 
 
 class LoadedBatch(msgspec.Struct, frozen=True):
-    """A batch, the results that are listed, and progress of the other samples."""
+    """A batch, its results in the store, and the saved progress of its samples."""
 
     batch: Batch
     listed: Sequence[SampleResult]
@@ -43,7 +47,7 @@
 
 
 class BatchLoader:
-    """Reads batches, as often as it takes."""
+    """Reads batches from the store, and their routes from the configuration."""
 
     def __init__(
         self,
@@ -56,9 +60,12 @@
         self._routes = routes
 
     async def load(self, batch_id: BatchId, batch: Batch | None) -> LoadedBatch | None:
-        """Return what is kept of a batch; None if its samples are not kept.
+        """Return a batch with its results and progress; None if it is not stored.
 
-        A batch that is given was accepted just now: nothing is listed yet.
+        Parameters
+        ----------
+        batch : Batch, optional
+            The batch if this host has just accepted it: it has no results yet.
         """
         while True:
             try:
@@ -73,16 +80,18 @@
                 return None
             except StoreUnavailableError as error:
                 _log.warning(
-                    "batches: not read yet",
+                    "batches: not read from the store yet",
                     batch=batch_id,
                     reason=store_failure_reason(error),
                 )
                 await asyncio.sleep(RELOAD_PAUSE_S)
 
     async def retention_s(self, batch: Batch) -> float:
-        """Return for how long samples are tried, once a configuration is known.
+        """Return the time after which samples of a batch are given up.
 
-        A route that was removed meanwhile has no say: its samples are given up.
+        Waits until a configuration is known. `DEFAULT_RETENTION_S` applies if the route
+        is no longer configured; `find_route` then finds none and the samples are given
+        up.
         """
         while (table := self._routes()) is None:
             _log.warning("batches: no configuration yet", batch=batch.id)
@@ -94,13 +103,13 @@
         return DEFAULT_RETENTION_S
 
     def find_route(self, host: str, target: str) -> Route | None:
-        """Return the route that a sample goes by now, None if none is configured."""
+        """Return the rollout route configured for a sample, None if there is none."""
         table = self._routes()
         route = table.match(host, target.partition("?")[0]) if table else None
         return route if route and route.kind is RouteKind.ROLLOUT else None
 
     async def _load_progress(self, batch: Batch) -> dict[SampleId, Progress]:
-        """Return what was generated of the samples before; none if it is not told."""
+        """Return the saved progress of a batch, empty if it cannot be read."""
         try:
             progress = await self._progress_store.of_model(batch.model)
         except StoreUnavailableError as error:
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -1,4 +1,9 @@
-"""Who works on which batch, and who should."""
+"""Owners of the open batches, and the choice of new owners.
+
+A batch goes to the host that owned the latest batch of its model. If an owner is lost,
+the hosts try to take its batches over one after the other, in an order that each of
+them computes from the same rows.
+"""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 
@@ -11,21 +16,28 @@
 from bankrudder.world import Clock, HostId, ModelVersion
 
 TAKEOVER_STAGGER_S = 0.4
-"""Hosts take over one after the other, this far apart, so that seldom two try."""
+"""Delay between the attempts of successive hosts to take over a batch, so that two
+rarely try at once."""
 
 MAX_TAKEOVER_RANK = 3
-"""Hosts beyond it wait no longer than this rank."""
+"""Largest rank that delays a takeover; hosts with a higher one wait no longer."""
 
 NEWEST_BATCH_WEIGHT = 0.3
-"""Weight of the newest batch in the mean size of a model's batches, and in the mean
-time for which they are open."""
+"""Weight of the newest batch in the moving averages of the size of a model's batches
+and of the time for which they are open."""
 
 DEFAULT_TOKEN_COUNT = 1000
-"""Tokens that a sample is expected to generate if it says nothing."""
+"""Tokens that a sample without a length hint is expected to generate."""
 
 
 class OwnerBook:
-    """The owners of all open batches, as the store tells them."""
+    """The owners of all open batches, as read from the store.
+
+    Parameters
+    ----------
+    is_loaded : callable
+        Whether the rows of all open batches have been read once.
+    """
 
     def __init__(
         self,
@@ -46,16 +58,16 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the rows of all open batches were read once."""
+        """Whether the rows of all open batches have been read once."""
         return self._is_loaded()
 
     def get(self, batch_id: BatchId) -> Owner | None:
-        """Return the owner's row of a batch, None if the batch is not open."""
+        """Return the owner of a batch, None if the batch is not open."""
         known = self._owners.get(batch_id)
         return known[0] if known is not None else None
 
     def put(self, batch_id: BatchId, owner: Owner, version: RowVersion) -> None:
-        """Take a new or changed row."""
+        """Apply a new or changed owner row."""
         if batch_id not in self._owners:
             self._record_batch_size(owner)
             self._opened_at[batch_id] = self._clock.monotonic()
@@ -64,7 +76,7 @@
             self._last_owner[owner.model] = HostId(owner.host)
 
     def remove(self, batch_id: BatchId) -> None:
-        """Forget a batch that was ended."""
+        """Remove a batch that was ended."""
         known = self._owners.pop(batch_id, None)
         opened_at = self._opened_at.pop(batch_id, None)
         if known is not None and opened_at is not None:
@@ -76,19 +88,19 @@
         return owner.lifetime == self._presence.lifetime
 
     def work_of(self, model: ModelName) -> float:
-        """Return the mean size of a model's latest batches in tokens, 0 if unknown."""
+        """Return the mean size of a model's batches in tokens, 0 if none is known."""
         return self._mean_batch_tokens.get(model, 0.0)
 
     def samples_of(self, model: ModelName) -> int:
-        """Return the samples of a model's largest batch so far, 0 if none is known."""
+        """Return the sample count of a model's largest batch, 0 if none is known."""
         return self._largest_sample_count.get(model, 0)
 
     def open_seconds(self) -> Mapping[ModelName, float]:
-        """Return for how long the latest batches of each model were open."""
+        """Return the mean time for which ended batches of each model were open."""
         return self._mean_open_s
 
     def needed_version(self, model: ModelName) -> ModelVersion:
-        """Return the newest of the oldest versions that open batches allow."""
+        """Return the oldest version that all open batches of a model allow."""
         needed = (
             owner.min_version
             for owner, _ in self._owners.values()
@@ -97,10 +109,10 @@
         return max(needed, default=ModelVersion(0))
 
     def choose_owner(self, batch: Batch, *, may_choose_this_host: bool) -> Owner:
-        """Return who shall work on a new batch: the owner of the model's last one.
+        """Return the owner for a new batch: the owner of the model's latest batch.
 
-        That host has connections to the engines and knows how quick they are. The
-        owner is empty if nobody is known; then the batch is taken over.
+        That host has connections to the engines and has measured their speed. The owner
+        is empty if no host is known; a host then takes the batch over.
         """
         hosts = [
             host
@@ -122,13 +134,13 @@
         )
 
     def claimed_row(self, before: Owner) -> Owner:
-        """Return the row that makes this host the owner."""
+        """Return the owner row with this host as the owner."""
         return msgspec.structs.replace(
             before, host=self._presence.host, lifetime=self._presence.lifetime
         )
 
     def takeover_candidates(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
-        """Yield the batches that nobody works on and this host should take over."""
+        """Yield the batches without a live owner that are due for this host."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
             if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
@@ -141,10 +153,10 @@
                 yield batch_id, owner, version
 
     def _is_newer_than_hosts(self, version: RowVersion) -> bool:
-        """Whether an owner's row is newer than what is known of the hosts.
+        """Whether an owner row is newer than the heartbeats read by this host.
 
-        It may name a run whose first heartbeat has not been read here, as hosts that
-        have just started are given batches at once.
+        Such a row may name a run whose first heartbeat has not been read yet, as hosts
+        get batches right after their start. Its owner is not taken to be lost.
         """
         return version > self._presence.read_version
 
@@ -161,7 +173,7 @@
         return self._presence.lifetime_of(host)
 
     def _takeover_rank(self, batch_id: BatchId, owner: Owner) -> int:
-        """Return this host's place among those that would take a batch over."""
+        """Return the position of this host in the takeover order of a batch."""
         hosts = sorted(
             self._presence.live_hosts(owner.data_centres),
             key=lambda host: (-self._presence.room_of(host), draw(batch_id, host)),
@@ -173,7 +185,7 @@
     def _host_with_most_capacity(
         self, hosts: Sequence[HostId], model: ModelName
     ) -> HostId | None:
-        """Return a host with much room, another one for each model if there are."""
+        """Return the host with the most capacity; hosts without batches win ties."""
         latest_owners = set(self._last_owner.values())
         return max(
             hosts,
--- a/src/bankrudder/batches/_progress.py
+++ b/src/bankrudder/batches/_progress.py
@@ -1,7 +1,7 @@
-"""What was generated of samples that did not end.
+"""Storage of the progress of unfinished samples.
 
-It lies in ``progress``, in one part for each model, so that a new owner of a batch, or
-a later batch with the same sample, finds it. Writes need no condition: text that is
+The table ``progress`` has one part for each model, so that a new owner of a batch, or a
+later batch with the same sample, finds the rows. Writes are unconditional: text that is
 lost or too old is generated again.
 """
 
@@ -30,7 +30,7 @@
 
 
 class ProgressStore:
-    """Reads and writes progress."""
+    """Reads and writes the progress of samples in the store."""
 
     def __init__(self, store: Store, row_bytes: int):
         self._store = store
@@ -39,12 +39,12 @@
     async def save(
         self, model: ModelName, progress: Iterable[tuple[SampleId, Progress]]
     ) -> bool:
-        """Keep what was generated of samples; what does not fit is left out.
+        """Save the progress of samples; progress too large for a row is skipped.
 
         Returns
         -------
         bool
-            Whether all that fits is kept.
+            Whether all other progress was saved.
         """
         is_kept = True
         puts: list[Put] = []
@@ -66,7 +66,7 @@
         return is_kept
 
     async def of_model(self, model: ModelName) -> dict[SampleId, Progress]:
-        """Return all progress that is kept for a model."""
+        """Return all saved progress of a model."""
         rows = await read_all(self._store, PROGRESS_TABLE, model)
         return {
             SampleId(row.key.key): msgspec.msgpack.decode(row.value, type=Progress)
@@ -74,7 +74,7 @@
         }
 
     async def drop(self, model: ModelName, samples: Iterable[SampleId]) -> None:
-        """Remove progress that is no longer needed; failing to is harmless."""
+        """Remove progress that is no longer needed, ignoring failures."""
         keys = [RowKey(PROGRESS_TABLE, model, sample) for sample in samples]
         for start in range(0, len(keys), MAX_TRANSACTION_ROWS):
             key_chunk = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
--- a/src/bankrudder/batches/_reading.py
+++ b/src/bankrudder/batches/_reading.py
@@ -1,4 +1,7 @@
-"""What trainers read: results by position, bodies of samples, ends."""
+"""Reads of batches for trainers: results by position, samples, and workspaces.
+
+A read needs nothing but the store, so any host can answer it.
+"""
 
 import asyncio
 from typing import TypeVar
@@ -17,16 +20,16 @@
 Cached = TypeVar("Cached")
 
 POLL_INTERVAL_S = 0.08
-"""How often the store is asked while a reader waits: a delay of half of it for each
-result, at the price of a read."""
+"""Interval between reads of the store while a reader waits. A result is delayed by half
+of it on average; a shorter one costs more reads."""
 
 CACHED_HEAD_COUNT = 512
 CACHED_BATCH_COUNT = 4
-"""Heads and whole batches that are kept in memory; they never change."""
+"""Largest numbers of cached heads and batches; neither ever changes."""
 
 
 class BatchReader:
-    """Answers reads from the store, so that any host can."""
+    """Answers reads of batches from the store."""
 
     def __init__(self, repository: BatchRepository, clock: Clock):
         self._repository = repository
@@ -39,17 +42,19 @@
     ) -> ResultPage | None:
         """Return results from a position on, None if there is no such batch.
 
+        Waits up to `wait_s` for the first result.
+
         Raises
         ------
         StoreUnavailableError
-            If that cannot be told now.
+            If the store does not answer.
         """
         until = self._clock.monotonic() + wait_s
         while True:
             try:
                 page = await self._page(batch_id, after)
             except StoreUnavailableError:
-                # A reader that waits is answered when the store returns.
+                # Retry, so that a waiting reader is answered once the store is back.
                 if self._clock.monotonic() + POLL_INTERVAL_S >= until:
                     raise
             else:
@@ -66,12 +71,12 @@
         return ResultPage(head.sample_count, results, after + len(results))
 
     async def workspace_of(self, batch_id: BatchId) -> WorkspaceName | None:
-        """Return whose batch it is, None if there is no such batch.
+        """Return the workspace of a batch, None if there is no such batch.
 
         Raises
         ------
         StoreUnavailableError
-            If that cannot be told now.
+            If the store does not answer.
         """
         head = await self._head(batch_id)
         return head.workspace if head is not None else None
--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -1,12 +1,13 @@
-"""Batches in the store.
+"""Storage of batches.
 
-Rows of a batch share one part, named by its identifier:
-
-- ``owners``: ``owner`` names who works on it. It goes when the batch is ended. Its
-  version is the fencing token: each write of an owner requires it.
-- ``batches``: ``head``, and the samples in rows ``samples/N`` or in an object.
-- ``results``: one row for each result, named by its position.
+In each table the rows of a batch are in the part named by its identifier:
 
+- ``owners``: the row ``owner`` names the host that works on the batch, and is removed
+  when the batch is ended. Its version is the fencing token: each write by the owner
+  requires it.
+- ``batches``: the row ``head``, and the samples in rows ``samples/N`` or in an object.
+- ``results``: the listed results, with keys that begin with the position of a result. A
+  result that is too large for one row is split into several.
 """
 
 import hashlib
@@ -48,23 +49,23 @@
 RESULTS_TABLE = "results"
 
 MAX_INLINE_BYTES = 500_000
-"""Samples that are larger go to an object: a transaction holds at most 1 MB, and
-base64 adds a third."""
+"""Size above which the samples are stored as an object: a transaction holds at most
+1 MB, and base64 adds a third."""
 
 MAX_TRANSACTION_BYTES = 600_000
-"""Bytes of one transaction at most, below the store's bound."""
+"""Largest size of a transaction; the store's limit is higher."""
 
 ROW_MARGIN_BYTES = 1024
-"""How far rows stay below the largest that the store takes."""
+"""Margin by which values stay below the store's largest row."""
 
 WRITE_TIMEOUT_S = 2.5
-"""Time for which an acceptance or an end is tried again: within the time that a
-caller waits for it."""
+"""Time for which a write is tried again; less than a caller waits for the acceptance
+or the end of a batch."""
 
 REFUSED_WRITE_TIMEOUT_S = 0.4
-"""The same for an acceptance that surely was not carried out, as the store is away for
-this host: another one may be served, and the step of a trainer waits for it. A try
-waits for the store's return by itself."""
+"""Time for which an acceptance is tried again if it was certainly not carried out, as
+this host cannot reach the store. The trainer's step waits for the acceptance, and
+another host may reach the store. Each try itself waits for the store to return."""
 
 _HEAD_KEY = "head"
 _OWNER_KEY = "owner"
@@ -73,10 +74,14 @@
 
 
 class AcceptOutcome(msgspec.Struct, frozen=True):
-    """A batch is kept.
-
-    ``fence`` is 0 if it had been accepted before, and ``is_same`` tells whether
-    that was a batch with the same samples.
+    """A batch of the given identifier is stored.
+
+    Attributes
+    ----------
+    fence : RowVersion
+        Fencing token of the owner; 0 if the batch had been accepted before.
+    is_same : bool
+        Whether the stored batch has the same content.
     """
 
     fence: RowVersion
@@ -84,11 +89,11 @@
 
 
 class UnknownBatchError(Exception):
-    """No batch of that name is kept."""
+    """The store holds no batch of that identifier, or not its samples."""
 
 
 class BatchRepository:
-    """Reads and writes batches; decides nothing."""
+    """Reads and writes batches."""
 
     def __init__(self, store: Store, clock: Clock, row_bytes: int):
         self._store = store
@@ -96,14 +101,14 @@
         self._max_value_bytes = row_bytes - ROW_MARGIN_BYTES
 
     async def accept(self, batch: Batch, owner: Owner) -> AcceptOutcome:
-        """Keep a batch, once.
+        """Store a batch unless one of its identifier is stored already.
 
         Raises
         ------
         StoreUnavailableError
-            If nothing was kept and nothing will be.
+            If the batch is not stored and will not be.
         NotSettledError
-            If that is not known.
+            If it is not known whether the batch is stored.
         """
         body = msgspec.msgpack.encode(batch)
         digest = _digest(batch)
@@ -125,7 +130,8 @@
         outcome = await commit_settled(
             self._store,
             transaction,
-            lambda _: False,  # whose write it was does not matter: the batch is kept
+            # A conflict needs no check of who wrote: the batch is stored.
+            lambda _: False,
             self._clock,
             WRITE_TIMEOUT_S,
             REFUSED_WRITE_TIMEOUT_S,
@@ -142,7 +148,7 @@
                 raise StoreUnavailableError(trouble)
 
     async def head(self, batch_id: BatchId) -> BatchHead | None:
-        """Return what is kept about a batch, None if there is none."""
+        """Return the head of a batch, None if there is no such batch."""
         page = await self._store.read(
             BATCHES_TABLE, batch_id, _HEAD_KEY, _HEAD_KEY + "\0"
         )
@@ -151,7 +157,13 @@
         return msgspec.json.decode(page.rows[0].value, type=BatchHead)
 
     async def load(self, batch_id: BatchId) -> Batch:
-        """Return a whole batch; raises `UnknownBatchError`."""
+        """Return a batch with its samples.
+
+        Raises
+        ------
+        UnknownBatchError
+            If it or its samples are not stored.
+        """
         rows = await read_all(self._store, BATCHES_TABLE, batch_id)
         by_key = {row.key.key: row.value for row in rows}
         if _HEAD_KEY not in by_key:
@@ -168,14 +180,21 @@
         return msgspec.msgpack.decode(body, type=Batch)
 
     async def owner(self, batch_id: BatchId) -> Row | None:
-        """Return the row of a batch's owner, None if it was ended."""
+        """Return the owner row of a batch, None if the batch is not open."""
         page = await self._store.read(OWNERS_TABLE, batch_id)
         return page.rows[0] if page.rows else None
 
     async def set_owner(
         self, batch_id: BatchId, expected_version: RowVersion, owner: Owner
     ) -> RowVersion | None:
-        """Change the owner; return the fencing token, None if it had changed."""
+        """Change the owner of a batch.
+
+        Returns
+        -------
+        RowVersion or None
+            The new fencing token; None if the owner row has another version than
+            `expected_version`.
+        """
         value = msgspec.json.encode(owner)
         key = owner_key(batch_id)
         transaction = Transaction(
@@ -203,12 +222,19 @@
         first: int,
         results: Sequence[SampleResult],
     ) -> bool:
-        """List results from a position on; False if another owner took over.
+        """Store results from a position on, where readers find them.
+
+        Returns
+        -------
+        bool
+            False if another owner took over or the batch was ended.
 
         Raises
         ------
-        StoreUnavailableError, NotSettledError
-            If they are not listed, or perhaps; the same call may be made again.
+        StoreUnavailableError
+            If the results are not stored.
+        NotSettledError
+            If it is not known whether they are. The same call may be repeated.
         """
         puts = tuple(
             put
@@ -216,8 +242,8 @@
             for put in self._result_puts(batch_id, first + number, result)
         )
         transaction = Transaction((Expectation(owner_key(batch_id), fence),), puts)
-        # Sending it again is harmless while the owner is the same, so that a
-        # conflict always means that another took over or that the batch ended.
+        # The transaction is idempotent and requires the owner row only, so a conflict
+        # always means that another owner took over or that the batch was ended.
         outcome = await commit_settled(
             self._store, transaction, lambda _: False, self._clock, WRITE_TIMEOUT_S
         )
@@ -232,23 +258,23 @@
     async def results(
         self, batch_id: BatchId, after: int, limit: int = 500
     ) -> tuple[SampleResult, ...]:
-        """Return results from a position on, as many as the store gives at once."""
+        """Return results from a position on, as many as one read returns."""
         page = await self._store.read(
             RESULTS_TABLE, batch_id, f"{after:08d}", "", limit
         )
         return _decode_results(page.rows)
 
     async def all_results(self, batch_id: BatchId) -> tuple[SampleResult, ...]:
-        """Return all results that are listed."""
+        """Return all results of a batch."""
         return _decode_results(await read_all(self._store, RESULTS_TABLE, batch_id))
 
     async def end(self, batch_id: BatchId) -> bool:
-        """End a batch; return whether there is one.
+        """End a batch; return whether there is such a batch.
 
         Raises
         ------
         StoreUnavailableError, NotSettledError
-            If it is not known to have ended.
+            If the batch is not ended, or it is not known whether it is.
         """
         while True:
             row = await self.owner(batch_id)
@@ -266,10 +292,10 @@
                 case NotCommitted(trouble=trouble):
                     raise StoreUnavailableError(trouble)
                 case Conflict():
-                    continue  # a new owner, or an end whose reply was lost
+                    continue  # the owner changed, or the reply to a try was lost
 
     async def delete(self, batch_id: BatchId) -> None:
-        """Remove all that is kept of a batch that was ended long ago."""
+        """Remove the results, the samples and the head of an ended batch."""
         head = await self.head(batch_id)
         if head is not None and not head.chunks:
             await self._store.drop_object(_object_name(batch_id, head.digest))
@@ -281,7 +307,7 @@
         outcome = await self._store.put_object(_object_name(batch_id, digest), body)
         match outcome:
             case Committed() | Conflict():
-                return  # the name holds the digest: what is there is the same
+                return  # the name contains the digest: a present object is the same
             case _:
                 raise StoreUnavailableError(outcome.trouble)
 
@@ -291,7 +317,7 @@
         chunks = self._split_rows(msgspec.msgpack.encode(result))
         last = len(chunks) - 1
         for number, chunk in enumerate(chunks):
-            # The mark tells a reader whether another row of this result follows.
+            # The suffix tells a reader whether another row of this result follows.
             suffix = "+" if number < last else "."
             key = f"{position:08d}/{number:04d}{suffix}"
             yield Put(RowKey(RESULTS_TABLE, batch_id, key), chunk)
@@ -307,7 +333,7 @@
 
 
 def _digest(batch: Batch) -> str:
-    """Return what a batch is recognised by when it comes again, in another trace."""
+    """Return the digest of a batch without its trace, which a resend changes."""
     untraced = msgspec.structs.replace(batch, trace="")
     return hashlib.sha256(msgspec.msgpack.encode(untraced)).hexdigest()
 
--- a/src/bankrudder/batches/_run.py
+++ b/src/bankrudder/batches/_run.py
@@ -1,4 +1,8 @@
-"""Work on one batch by its owner: all samples, and the listing of their results."""
+"""Work on one batch by its owner.
+
+All samples are generated and scored concurrently. Their results are listed, which means
+written to the store at consecutive positions, under the fencing token of the owner.
+"""
 
 import asyncio
 from collections.abc import Callable, Mapping, Sequence
@@ -32,15 +36,15 @@
 from bankrudder.world import Clock, SampleId
 
 SAVE_INTERVAL_S = 0.4
-"""Pause between two savings of progress: a new owner repeats at most this much of
-each sample, besides the time in which the loss of the owner is noticed."""
+"""Pause between two saves of progress: a new owner repeats at most this much of each
+sample, besides the time until the loss of the owner is detected."""
 
 MIN_UNSAVED_EVENT_COUNT = 10
-"""Events since the last saving for which a sample is saved again, about 0.4 s of
-generation: a quarter of the samples ends sooner and is never saved."""
+"""Events since the last save after which a sample is saved again, about 0.4 s of
+generation. A quarter of the samples ends sooner and is never saved."""
 
 MAX_RESULTS_PER_TRANSACTION = 40
-"""Results that are listed in one transaction at most, so that it stays small."""
+"""Largest number of results in one transaction, which bounds its size."""
 
 _log = structlog.get_logger("batches")
 
@@ -55,9 +59,9 @@
     listed : sequence of SampleResult
         Results that earlier owners listed.
     progress : mapping
-        What was generated of samples that are not listed.
+        Saved progress of samples.
     retention_left_s : float
-        Seconds after which samples are given up.
+        Seconds from now after which unfinished samples are given up.
     carried : frozenset of SampleId
         Samples that were in an earlier batch.
     """
@@ -125,7 +129,7 @@
 
     @property
     def batch(self) -> Batch:
-        """The batch that is worked on."""
+        """The batch that is generated."""
         return self._batch
 
     @property
@@ -134,11 +138,11 @@
         return self._fence
 
     def obsolete_progress(self) -> list[SampleId]:
-        """Return the samples whose saved progress is of no more use."""
+        """Return the listed samples of which progress is saved."""
         return [key for key in self._saved_events if key in self._listed_samples]
 
     def unfinished_progress(self) -> list[tuple[SampleId, Progress]]:
-        """Return what was generated of samples of groups that are not listed whole."""
+        """Return the progress of samples whose group is not fully listed."""
         open_groups = {
             each.sample.group
             for each in self._generators
@@ -151,7 +155,7 @@
         ]
 
     async def run(self) -> None:
-        """Work until every sample is listed or another owner took over."""
+        """Generate until all samples are listed or another owner took over."""
         began = self._clock.monotonic()
         samplers = [
             asyncio.ensure_future(self._complete_sample(generator))
@@ -172,7 +176,7 @@
         )
 
     async def _save_progress(self) -> None:
-        """Keep what long samples have so far, for an owner that takes over."""
+        """Save the progress of long samples periodically, for a later owner."""
         while True:
             await asyncio.sleep(SAVE_INTERVAL_S)
             due = [
@@ -248,7 +252,7 @@
         return await self._scorer.score(sample.reward, trace)
 
     async def _list_results(self, count: int) -> bool:
-        """List `count` results as they come; False if another owner took over."""
+        """List `count` results as samples finish; False if another owner took over."""
         while count:
             results = await self._next_results()
             while not await self._try_list(results):
@@ -262,7 +266,7 @@
     _is_replaced = False
 
     async def _try_list(self, results: Sequence[SampleResult]) -> bool:
-        # The same results go to the same positions until that is known.
+        # Until the outcome is known, the same results are sent to the same positions.
         try:
             listed = await self._repository.add_results(
                 self._batch.id, self._fence, self._next_position, results
--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -1,4 +1,8 @@
-"""Generation of one sample: runs on engines, resumed where one broke off."""
+"""Generation of one sample.
+
+A sample is generated in one or more runs on engines. If a run ends early, because its
+engine fails or another one is faster, the next run resumes after the last event.
+"""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -36,32 +40,34 @@
 from bankrudder.world import Clock, ModelVersion
 
 EVENTS_PER_MOVE_CHECK = 4
-"""Events after which a run looks for a quicker engine again."""
+"""Number of events between two checks whether a sample should move."""
 
 METHOD = "POST"
-"""How samples are asked of engines."""
+"""HTTP method of the requests to engines."""
 
 MIN_RUN_TIMEOUT_S = 0.5
+"""Shortest timeout of a request, however near the deadline of the sample is."""
 
 MAX_HOLD_S = 1.0
-"""Longest pause between two looks whether a sample under which engines ended may run:
-an answer elsewhere, or another sample that explains it, may clear it at any time."""
+"""Longest pause before a sample under which engines crashed is checked again. An answer
+to the same content on any host, or another sample that explains the crashes, may clear
+it at any time."""
 
 STATUS_UNPROCESSABLE = 422
-"""An engine answers so if a sample can never be generated."""
+"""Status with which an engine refuses a sample that can never be generated."""
 
 _log = structlog.get_logger("batches")
 
 
 class SampleGenerator:
-    """Generates one sample and keeps what it has so far.
+    """Generates one sample and holds its text so far.
 
     Parameters
     ----------
     route_now : callable
         Takes host name and target; returns the route that is configured for them.
-    progress : Progress
-        What was generated before; ignored if its versions do not fit.
+    progress : Progress, optional
+        Progress of an earlier owner or batch; ignored if its versions are unusable.
     give_up_at : float
         Monotonic time at which the sample is given up.
     """
@@ -119,7 +125,7 @@
 
     @property
     def text(self) -> SampleText:
-        """What has been generated so far."""
+        """The text generated so far."""
         return self._text
 
     @property
@@ -129,16 +135,16 @@
 
     @property
     def waited_s(self) -> float:
-        """Seconds that it waited for slots so far."""
+        """Total time for which the sample has waited for slots, in seconds."""
         return self._waited_s
 
     @property
     def longest_gap_s(self) -> float:
-        """Longest time between two events of one run so far, in seconds."""
+        """Longest time between two events of a run so far, in seconds."""
         return self._longest_gap_s
 
     async def run(self, trace: str = "") -> None:
-        """Generate until the text is whole.
+        """Generate until the text is complete.
 
         Parameters
         ----------
@@ -148,7 +154,7 @@
         Raises
         ------
         SampleFailedError
-            If it cannot be, or failed as often as the route allows.
+            If it cannot be generated, or failed as often as its route allows.
         """
         try:
             await self._generate(trace)
@@ -179,7 +185,7 @@
                 self._dispatcher.release(target, demand.group, demand.is_suspect)
 
     async def _wait_for_admission(self) -> bool:
-        """Wait while the sample may not run; return whether engines ended under it."""
+        """Wait until the sample may run; return whether it is a suspect."""
         is_logged = False
         while True:
             verdict = self._crashes.verdict(self._content_id)
@@ -216,7 +222,7 @@
             async with within_run(target):
                 await self._generate_on(target, demand)
         except RunEndedError:
-            self._log_run_end(target, "the engine started again")
+            self._log_run_end(target, "the engine restarted")
             await self._report_lost(target, LossReason.ENDPOINT_RESTARTED)
 
     async def _generate_on(self, target: TrackedEndpoint, demand: SlotDemand) -> None:
@@ -243,10 +249,10 @@
         return self._route is not None and self._route.is_single_version
 
     def _current_route(self) -> Route:
-        """Return the route as it is now: a configuration may have moved it."""
+        """Return the present route, which a new configuration may have changed."""
         self._route = self._find_route(self._batch.host, self._sample.target)
         if self._route is None:
-            raise SampleFailedError("its route is no longer configured")
+            raise SampleFailedError("no rollout route is configured for the sample")
         return self._route
 
     def _outgoing_request(self) -> OutgoingRequest:
@@ -293,14 +299,14 @@
                     target.note_event_gap((now - last_check_at) / EVENTS_PER_MOVE_CHECK)
                     last_check_at = now
                     if self._dispatcher.should_move(demand, target, len(self._text)):
-                        self._log_run_end(target, "a free engine is quicker")
+                        self._log_run_end(target, "a faster engine has a free slot")
                         return
         except StreamBrokenError as error:
             self._record_failure(target, str(error))
             await self._report_lost(target, LossReason.BROKEN_OFF)
             return
         except TimeoutError:
-            self._record_failure(target, "no event in time")
+            self._record_failure(target, "next event timed out")
             return
         except StaleWeightsError:
             self._log_run_end(target, "weights too old")
@@ -325,15 +331,19 @@
         known = self._text.versions
         if known and version not in known and self._is_single_version:
             self._text.clear()
-            raise StreamBrokenError("version changed within a sample")
+            raise StreamBrokenError(
+                "weight version changed within a single-version sample"
+            )
 
     def _handle_error_status(self, target: TrackedEndpoint, status: int) -> None:
         if status == STATUS_UNPROCESSABLE:
-            raise SampleFailedError("the engine says that it can never be done")
+            raise SampleFailedError(
+                f"the engine refused the sample for good with status {status}"
+            )
         self._failures += 1
         self._log_run_end(target, f"status {status}")
         if self._failures >= self._current_route().max_attempts:
-            raise SampleFailedError(f"failed {self._failures} times")
+            raise SampleFailedError(f"{self._failures} runs ended with an error status")
 
     def _record_failure(self, target: TrackedEndpoint, reason: str) -> None:
         target.note_failure(self._clock.monotonic())
--- a/src/bankrudder/batches/_scoring.py
+++ b/src/bankrudder/batches/_scoring.py
@@ -1,4 +1,8 @@
-"""Scoring of samples by the services that grade them."""
+"""Scoring of samples by grading services.
+
+A reward call goes through the relay as other requests do. It is repeated until an
+answer carries a proof, or as many answers failed as the route allows.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -18,21 +22,21 @@
 from bankrudder.world import Clock
 
 MAX_SLOT_SHARE = 0.5
-"""Share of a service's slots that scoring may take from this host: the rest stays
-free for callers who wait."""
+"""Largest share of a service's slots that the reward calls of this host use; the rest
+stays free for the requests of callers."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause after a try without an answer: about two usual answers."""
+"""Pause before a reward call is repeated: about twice the usual latency."""
 
 MAX_HOLD_S = 1.0
-"""Longest pause before another try of a call under which endpoints ended: an answer
-elsewhere may clear it at any time."""
+"""Longest pause before a call under which endpoints crashed is tried again. An answer
+to the same request on any host may clear it at any time."""
 
 _log = structlog.get_logger("batches")
 
 
 class ScoreFailedError(Exception):
-    """The grading service failed as often as the route allows."""
+    """A reward call failed as often as its route allows."""
 
 
 class Scorer:
@@ -53,12 +57,12 @@
         self._slot_released = asyncio.Event()
 
     async def score(self, call: RewardCall, trace: str) -> str:
-        """Return the proof of the grading service's answer.
+        """Return the proof in the grading service's answer.
 
         Raises
         ------
         ScoreFailedError
-            If it failed as often as its route allows.
+            If the call failed as often as its route allows.
         """
         failures = 0
         while True:
@@ -98,7 +102,9 @@
                         failures=failures,
                     )
                     if failures >= route.max_attempts:
-                        raise ScoreFailedError(f"status {status}")
+                        raise ScoreFailedError(
+                            f"{failures} reward answers failed, the last with {status}"
+                        )
                     await asyncio.sleep(RETRY_PAUSE_S)
                 case NotRun(RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
                     await asyncio.sleep(min(seconds, MAX_HOLD_S))
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -1,4 +1,9 @@
-"""All batches as this host sees them: acceptance, ownership, ends."""
+"""Batches of this host: acceptance, work on owned batches, takeover and handover.
+
+The owner rows in the store decide which host works on a batch. The service follows
+them, works on the batches whose rows name this run of the host, and takes over batches
+whose owner is lost.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -41,22 +46,22 @@
 
 OWNERS_READ_SHARE = 0.2
 MIN_OWNERS_WAIT_S = 0.8
-"""Share of the reads of the store that the owners' rows may take, and the shortest time
-for which these reads may be held."""
+"""Share of the store's reads for following the owner rows, and the shortest time for
+which the store may hold such a read while nothing changes."""
 
 TAKEOVER_CHECK_INTERVAL_S = 0.15
-"""How often batches without an owner are looked for."""
+"""Interval between two checks for batches without a live owner."""
 
 _log = structlog.get_logger("batches")
 
 
 class BatchService:
-    """Accepts batches, works on its own ones, takes over those of lost hosts.
+    """Accepts batches, works on owned ones, and takes over those of lost hosts.
 
     Parameters
     ----------
     loaded : TableFollower, optional
-        Tells which versions engines have loaded; it runs while there is work here.
+        Follows the versions that engines have loaded; it runs while this host has work.
     """
 
     def __init__(
@@ -107,7 +112,7 @@
 
     @property
     def owners(self) -> OwnerBook:
-        """Who works on which batch."""
+        """The owners of all open batches."""
         return self._owners
 
     @property
@@ -117,18 +122,23 @@
 
     @property
     def waiting_count(self) -> int:
-        """Number of samples that wait for an engine."""
+        """Number of samples that wait for a slot."""
         return self._dispatcher.waiting_count
 
     async def accept(self, batch: Batch) -> bool:
-        """Keep a batch and begin with it; False if one of its name is another one.
+        """Store a batch, and start work on it if this host is its owner.
+
+        Returns
+        -------
+        bool
+            False if another batch is stored under the same identifier.
 
         Raises
         ------
         StoreUnavailableError
-            If nothing is kept and nothing will be.
+            If the batch is not stored and will not be.
         NotSettledError
-            If that is not known.
+            If it is not known whether the batch is stored.
         """
         owner = self._owners.choose_owner(
             batch, may_choose_this_host=not self._is_leaving
@@ -147,19 +157,19 @@
         return outcome.is_same
 
     async def run(self) -> None:
-        """Follow the owners and take over what is without one, until cancelled."""
+        """Follow the owner rows and take over batches, until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._dispatcher.run())
             group.create_task(self._take_over_ownerless())
 
     async def release_all(self) -> bool:
-        """Hand all batches over to other hosts, with what was generated.
+        """Hand all batches and their progress over to other hosts.
 
         Returns
         -------
         bool
-            Whether none is left; if not, work on the rest goes on here.
+            Whether all are handed over; if not, work on the others continues here.
         """
         self._is_leaving = True
         for batch_id in list(self._tasks):
@@ -273,7 +283,7 @@
             _log.warning("batches: lost to another owner", batch=batch_id)
             self._tasks[batch_id].cancel()
         if is_mine and not self._is_leaving and row.version > fence:
-            # The reply to the acceptance or the takeover was lost.
+            # The reply to the acceptance or the takeover by this host was lost.
             self._start_work(batch_id, row.version)
 
     def _on_owner_removed(self, key: RowKey) -> None:
@@ -288,7 +298,7 @@
             self._spawn(self._save_unfinished(run))
 
     async def _save_unfinished(self, run: BatchRun) -> None:
-        """Keep what a batch leaves behind, and nothing else of it."""
+        """Save the progress of incomplete groups; drop progress of no more use."""
         unfinished_progress = run.unfinished_progress()
         await self._progress_store.save(run.batch.model, unfinished_progress)
         unfinished_ids = {sample_id for sample_id, _ in unfinished_progress}
@@ -312,7 +322,7 @@
                 await self._take_over(batch_id, owner, version)
 
     def _update_load_following(self) -> None:
-        """Follow the loaded versions while there is work, as each change is a read."""
+        """Follow loaded versions only while there is work: each change costs a read."""
         if self._loaded_follower is None:
             return
         if self._tasks and self._load_following is None:
--- a/src/bankrudder/batches/_text.py
+++ b/src/bankrudder/batches/_text.py
@@ -1,4 +1,4 @@
-"""What has been generated of one sample: its events, and the versions behind them."""
+"""Text generated of one sample: its events, and the versions that generated them."""
 
 from bankrudder.batches._values import Progress
 from bankrudder.fleet import StreamBrokenError, StreamEvent
@@ -6,7 +6,7 @@
 
 
 class SampleText:
-    """Events in their order, each once."""
+    """The events of one sample, in order and without duplicates."""
 
     def __init__(self) -> None:
         self._events: list[str] = []
@@ -25,17 +25,17 @@
 
     @property
     def versions(self) -> tuple[ModelVersion, ...]:
-        """The versions that made it, in the order of their first events."""
+        """The versions that generated the text, in the order of their first events."""
         return tuple(self._versions)
 
     @property
     def version_events(self) -> tuple[int, ...]:
-        """The number of events that each of the versions made."""
+        """The number of events that each of `versions` generated."""
         return tuple(self._version_events)
 
     @property
     def next_number(self) -> int:
-        """Number of the event that has to come next, -1 before the first one."""
+        """Number of the event expected next, -1 before the first one."""
         return self._next_number
 
     @property
@@ -45,7 +45,7 @@
 
     @property
     def progress(self) -> Progress:
-        """All of it, as it is kept for a later owner or batch."""
+        """The text as it is saved for a later owner or batch."""
         return Progress(
             tuple(self._events),
             self.versions,
@@ -55,7 +55,7 @@
         )
 
     def resume(self, progress: Progress) -> None:
-        """Go on from what was kept."""
+        """Replace the text by saved progress."""
         self._events = list(progress.texts)
         self._versions = list(progress.versions)
         self._version_events = list(progress.version_events)
@@ -68,11 +68,11 @@
         Raises
         ------
         StreamBrokenError
-            If it is not the one that has to come next.
+            If it is not the event expected next.
         """
         if self._events and event.number != self._next_number:
             raise StreamBrokenError(
-                f"event {event.number} in place of {self._next_number}"
+                f"got event {event.number}, expected {self._next_number}"
             )
         if version is not None:
             self._count(version)
@@ -80,7 +80,7 @@
         self._next_number = event.number + 1
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Remove all events, so that generation starts again."""
         self._events = []
         self._versions = []
         self._version_events = []
@@ -94,17 +94,17 @@
 
 
 def can_resume(progress: Progress, min_version: ModelVersion, *, single: bool) -> bool:
-    """Whether kept text may be used.
+    """Whether a sample may resume from saved progress.
 
     Parameters
     ----------
     min_version : ModelVersion
-        Oldest version that may have made any of it.
+        Oldest version that may have generated any of the text.
     single : bool
-        Whether one version must have made all of it.
+        Whether a single version must have generated all of the text.
     """
     if single and len(progress.versions) > 1:
         return False
     if len(progress.version_events) != len(progress.versions):
-        return False  # saved by a program that did not count them
+        return False  # saved by a release that did not count events by version
     return bool(progress.versions) and min(progress.versions) >= min_version
--- a/src/bankrudder/batches/_values.py
+++ b/src/bankrudder/batches/_values.py
@@ -1,4 +1,4 @@
-"""Batches of samples that trainers ask for, and what becomes of them."""
+"""Values that describe batches, their samples, owners, progress and results."""
 
 from enum import Enum
 from typing import NewType
@@ -20,7 +20,7 @@
 
 
 class RewardCall(msgspec.Struct, frozen=True):
-    """The request that scores a sample once its text is whole."""
+    """The request that scores a sample once its text is complete."""
 
     id: str
     host: str
@@ -36,9 +36,9 @@
     target : str
         Path and query of the request to an engine.
     length_hint : int
-        Estimate of the tokens that will be generated, often far off.
+        Estimate of the tokens that will be generated, often inaccurate.
     generation : Generation or None
-        What to generate, if the headers do not say it.
+        What to generate, if the headers do not specify it.
     """
 
     id: SampleId
@@ -59,13 +59,13 @@
     min_version : ModelVersion
         Oldest weights that may generate any of its text.
     target_groups : int
-        Whole groups that the trainer waits for.
+        Number of complete groups that the trainer waits for.
     data_centres : tuple of DataCentreName
-        Where it may be worked on; empty for anywhere.
+        Where the batch may be worked on; empty for anywhere.
     trace : str
-        W3C ``traceparent`` of the span that received it, or empty.
+        W3C ``traceparent`` of the span in which the batch was received, or empty.
     workspace : WorkspaceName
-        Whose batch it is: its callers may read and end it, and endpoints are told.
+        Workspace whose callers may read and end the batch; endpoints are told it.
     """
 
     id: BatchId
@@ -81,16 +81,16 @@
 
 
 class BatchHead(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What is kept about a batch beside its samples.
+    """The stored description of a batch, without its samples.
 
     Attributes
     ----------
     digest : str
-        SHA-256 of the samples, to recognise the batch when it comes again.
+        SHA-256 of the batch without its trace, to recognise a resent batch.
     chunks : int
-        Rows that hold the samples, 0 if an object does.
+        Number of rows that hold the samples, 0 if an object does.
     workspace : WorkspaceName
-        Whose batch it is.
+        Workspace of the batch.
     """
 
     digest: str
@@ -100,17 +100,17 @@
 
 
 class Owner(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Which run of which host works on a batch; both empty if none does.
+    """The host, and its run, that works on a batch; both empty if none does.
 
     Attributes
     ----------
     accepted_at : float
-        Store time in seconds at which the batch was accepted; 0 if the store
-        has not told its time yet.
+        Store time in seconds at which the batch was accepted; 0 if the store's time is
+        not known yet.
     work : int
         Tokens that the batch is expected to generate.
     samples : int
-        Number of its samples.
+        Number of samples of the batch.
     min_version : ModelVersion
         Oldest weights that may generate any of its text.
     data_centres : tuple of DataCentreName
@@ -135,12 +135,12 @@
 
 
 class SampleResult(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The end of one sample; it keeps its position in the batch for good.
+    """The result of one sample; its position in the batch never changes.
 
     Attributes
     ----------
     version_events : tuple of int
-        Number of events that each version made.
+        Number of events that each of ``versions`` generated.
     """
 
     id: SampleId
@@ -152,10 +152,14 @@
 
 
 class Progress(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What has been generated of a sample: its events and their versions.
+    """What has been generated of a sample: the data of its events, and their versions.
 
-    ``next_number`` is the number of the event that has to come next, -1 before
-    the first one; ``version_events`` is the number of events that each version made.
+    Attributes
+    ----------
+    next_number : int
+        Number of the event expected next, -1 before the first one.
+    version_events : tuple of int
+        Number of events that each of ``versions`` generated.
     """
 
     texts: tuple[str, ...] = ()
@@ -166,7 +170,7 @@
 
 
 class ResultPage(msgspec.Struct, frozen=True):
-    """Results from some position on."""
+    """Results of a batch from a position on."""
 
     sample_count: int
     results: tuple[SampleResult, ...]
@@ -174,5 +178,5 @@
 
     @property
     def ends_wait(self) -> bool:
-        """Whether a reader gains nothing by waiting for more."""
+        """Whether a waiting reader is answered: the page has results or is the last."""
         return bool(self.results) or self.next_position >= self.sample_count
--- a/tests/batches/test_cleaning.py
+++ b/tests/batches/test_cleaning.py
@@ -1,4 +1,4 @@
-"""Nothing is kept for ever, and nothing is removed too early."""
+"""Batches and progress are removed after their retention, and not before."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class StoreWithManualTime:
-    """Passes calls on; commits tell a store time that is moved by hand."""
+    """Forwards calls to a store; commits return a time that the test sets."""
 
     def __init__(self, store):
         self._store = store
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Slots go by rank to engines that are free, fresh enough and quick."""
+"""Slots are granted by rank, on free and fast engines with recent enough weights."""
 
 import asyncio
 
@@ -78,7 +78,7 @@
 async def test_requests_of_a_step_share_one_search_of_the_engines(
     directory, hand_clock, monkeypatch
 ):
-    """Samples of a step come at one moment, before thousands of engines."""
+    """All samples of a step request slots at once; one search each was too slow."""
     models = (ModelState("m", 2),)
     for number in range(100):
         entry = Endpoint(f"e{number}", "s", "127.0.0.1:1", "north", 2, models=models)
@@ -213,7 +213,7 @@
     dark.note_failure(hand_clock.monotonic())
     hand_clock.advance(MAX_SUSPENSION_S)
     tasks = [request_slot(dispatcher) for _ in range(4)]
-    # It comes last, though it is as empty as the other one.
+    # The failed engine is chosen last, although it is as free as the other.
     assert await granted_ids(*tasks) == ["a", "a", "b", None]
     dark.note_alive()
     dispatcher.release(tasks[0].result(), "g")
@@ -303,7 +303,7 @@
         for n in range(3)
     ]
     assert sorted(name for name in await granted_ids(*suspects) if name) == ["a", "b"]
-    # Others still have the slots beside them.
+    # Other samples still get the remaining slots.
     others = [request_slot(dispatcher, sample=f"y{n}") for n in range(2)]
     assert sorted(await granted_ids(*others)) == ["a", "b"]
     running = next(each for each in suspects if each.done())
--- a/tests/batches/test_event_timeout.py
+++ b/tests/batches/test_event_timeout.py
@@ -1,4 +1,4 @@
-"""How long a run waits for its next event."""
+"""The timeout of the next event follows the usual gap of the engine."""
 
 import pytest
 
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -1,4 +1,4 @@
-"""What all hosts know of the batches that are open."""
+"""Open times of batches, and the takeover of batches without a live owner."""
 
 import pytest
 
@@ -44,7 +44,7 @@
 
 
 class FakePresence:
-    """What is known of the hosts, up to some version of the store: this one runs."""
+    """The heartbeats read up to a version of the store: only this host is alive."""
 
     host = "h"
     lifetime = "life"
--- a/tests/batches/test_repository.py
+++ b/tests/batches/test_repository.py
@@ -1,4 +1,4 @@
-"""What the store keeps of a batch: once, in order, and only by its owner."""
+"""A batch is stored once, its results in order, and only its owner adds results."""
 
 import pytest
 
@@ -104,7 +104,7 @@
     assert await repository.end("b1")
     assert not await repository.add_results("b1", fence, 1, [result(1)])
     assert await repository.results("b1", 0) == (result(0),)
-    # It is not accepted anew.
+    # An ended batch is not accepted again.
     assert (await repository.accept(batch(), THIS_OWNER)).fence == 0
 
 
--- a/tests/batches/test_scoring.py
+++ b/tests/batches/test_scoring.py
@@ -1,4 +1,4 @@
-"""A sample is given up only after as many failed answers as its route allows."""
+"""A reward call is given up only after as many failed answers as its route allows."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 class ScriptedForwarder:
-    """Gives the replies of a script, one for each request."""
+    """Returns the given replies in order, one for each request."""
 
     def __init__(self, replies):
         self.replies = list(replies)
--- a/tests/batches/test_text.py
+++ b/tests/batches/test_text.py
@@ -1,4 +1,4 @@
-"""Texts of samples: each event once, and what kept text may be used for."""
+"""Texts of samples: the order of events, and resumption from saved progress."""
 
 import pytest
 
