--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -100,7 +100,7 @@
         granted = asyncio.get_running_loop().create_future()
         request = _SlotRequest(demand.rank, next(self._sequence), demand, granted)
         heapq.heappush(self._waiting, request)
-        self._grant()
+        self._grant_slots()
         if self._waiting:
             self._has_waiting.set()
         try:
@@ -116,8 +116,8 @@
         """Return a slot."""
         target.in_flight -= 1
         target.suspects -= is_suspect
-        self._count_group(group, target.run, -1)
-        self._grant()
+        self._change_group_slot_count(group, target.run, -1)
+        self._grant_slots()
 
     def pause(self, target: TrackedEndpoint, model: ModelName) -> None:
         """Send no samples of a model to an engine for `REFUSAL_PAUSE_S`."""
@@ -125,7 +125,7 @@
         self._paused[target.run, model] = until
 
     def should_move(
-        self, demand: SlotDemand, target: TrackedEndpoint, events: int
+        self, demand: SlotDemand, target: TrackedEndpoint, event_count: int
     ) -> bool:
         """Whether a running sample should continue on another engine.
 
@@ -140,22 +140,24 @@
         """
         if target.event_gap_s is None:
             return False
-        here = timedelta(seconds=target.event_gap_s)
+        present_gap = timedelta(seconds=target.event_gap_s)
         now = self._clock.monotonic()
-        better = [
+        faster = [
             candidate
             for candidate in self._eligible_engines(demand, now)
             if candidate is not target
             and candidate.event_gap_s is not None
             and candidate.is_trusted
-            and is_worth_moving(events, here, timedelta(seconds=candidate.event_gap_s))
+            and is_worth_moving(
+                event_count, present_gap, timedelta(seconds=candidate.event_gap_s)
+            )
             and self._is_usable(candidate, demand, now)
         ]
-        if any(self._has_room(candidate, demand.sample) for candidate in better):
+        if any(self._has_free_slot(candidate, demand.sample) for candidate in faster):
             return True
-        if better:
+        if faster:
             seconds = RESERVATION_EVENT_COUNT * target.event_gap_s
-            self._reserve(min(better, key=_gap_s), demand.sample, seconds)
+            self._reserve(min(faster, key=_gap_s), demand.sample, seconds)
         return False
 
     async def run(self) -> None:
@@ -163,11 +165,11 @@
         while True:
             await self._has_waiting.wait()
             await asyncio.sleep(RECHECK_INTERVAL_S)
-            self._grant()
+            self._grant_slots()
             if not self._waiting:
                 self._has_waiting.clear()
 
-    def _grant(self) -> None:
+    def _grant_slots(self) -> None:
         ungranted: list[_SlotRequest] = []
         full_kinds: set[tuple[object, ...]] = set()
         while self._waiting:
@@ -175,7 +177,7 @@
             if request.granted.done():
                 continue
             demand = request.demand
-            kind = (
+            demand_kind = (
                 demand.service,
                 demand.model,
                 demand.min_version,
@@ -183,25 +185,25 @@
                 demand.sample in self._reserved,
                 demand.is_suspect,
             )
-            target = None if kind in full_kinds else self._choose(demand)
+            target = None if demand_kind in full_kinds else self._choose_engine(demand)
             if target is None:
-                full_kinds.add(kind)
+                full_kinds.add(demand_kind)
                 ungranted.append(request)
                 continue
             target.in_flight += 1
             target.suspects += demand.is_suspect
             target.take_connection()
             self._reserved.pop(demand.sample, None)
-            self._count_group(demand.group, target.run, 1)
+            self._change_group_slot_count(demand.group, target.run, 1)
             request.granted.set_result(target)
         for request in ungranted:
             heapq.heappush(self._waiting, request)
 
-    def _choose(self, demand: SlotDemand) -> TrackedEndpoint | None:
+    def _choose_engine(self, demand: SlotDemand) -> TrackedEndpoint | None:
         free = [
             candidate
             for candidate in self._usable_engines(demand)
-            if self._has_room(candidate, demand.sample)
+            if self._has_free_slot(candidate, demand.sample)
         ]
         if not free:
             return None
@@ -276,7 +278,7 @@
         self._eligible[key] = _EligibleEngines(engines, now + RECHECK_INTERVAL_S)
         return engines
 
-    def _has_room(self, candidate: TrackedEndpoint, sample: SampleId) -> bool:
+    def _has_free_slot(self, candidate: TrackedEndpoint, sample: SampleId) -> bool:
         """Whether an engine has a slot that is not reserved for another sample."""
         now = self._clock.monotonic()
         reserved_count = sum(
@@ -304,7 +306,9 @@
             candidate.endpoint.slots if candidate.is_trusted else UNTRUSTED_SLOT_COUNT
         )
 
-    def _count_group(self, group: GroupId, run: EndpointRun, change: int) -> None:
+    def _change_group_slot_count(
+        self, group: GroupId, run: EndpointRun, change: int
+    ) -> None:
         key = (group, run)
         count = self._group_slot_counts.get(key, 0) + change
         if count > 0:
--- a/src/bankrudder/batches/_reading.py
+++ b/src/bankrudder/batches/_reading.py
@@ -52,7 +52,7 @@
         until = self._clock.monotonic() + wait_s
         while True:
             try:
-                page = await self._page(batch_id, after)
+                page = await self._read_page(batch_id, after)
             except StoreUnavailableError:
                 # Retry, so that a waiting reader is answered once the store is back.
                 if self._clock.monotonic() + POLL_INTERVAL_S >= until:
@@ -63,7 +63,7 @@
                     return page
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _page(self, batch_id: BatchId, after: int) -> ResultPage | None:
+    async def _read_page(self, batch_id: BatchId, after: int) -> ResultPage | None:
         head = await self._head(batch_id)
         if head is None:
             return None
--- a/src/bankrudder/batches/_run.py
+++ b/src/bankrudder/batches/_run.py
@@ -125,7 +125,9 @@
             if sample.id not in done
         ]
         self._listed_samples: set[SampleId] = set()
-        self._saved_events = {key: each.next_number for key, each in progress.items()}
+        self._saved_event_numbers = {
+            key: each.next_number for key, each in progress.items()
+        }
 
     @property
     def batch(self) -> Batch:
@@ -139,7 +141,7 @@
 
     def obsolete_progress(self) -> list[SampleId]:
         """Return the listed samples of which progress is saved."""
-        return [key for key in self._saved_events if key in self._listed_samples]
+        return [key for key in self._saved_event_numbers if key in self._listed_samples]
 
     def unfinished_progress(self) -> list[tuple[SampleId, Progress]]:
         """Return the progress of samples whose group is not fully listed."""
@@ -186,13 +188,13 @@
             ]
             if due and await self._progress_store.save(self._batch.model, due):
                 for sample_id, progress in due:
-                    self._saved_events[sample_id] = progress.next_number
+                    self._saved_event_numbers[sample_id] = progress.next_number
 
     def _needs_saving(self, generator: SampleGenerator) -> bool:
         sample_id = generator.sample.id
         if sample_id in self._listed_samples:
             return False
-        saved = self._saved_events.get(sample_id, 0)
+        saved = self._saved_event_numbers.get(sample_id, 0)
         return generator.text.next_number - saved >= MIN_UNSAVED_EVENT_COUNT
 
     async def _complete_sample(self, generator: SampleGenerator) -> None:
--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -108,7 +108,7 @@
         self._clock = clock
         self._deadline = deadline
         self._text = SampleText()
-        self._failures = 0
+        self._error_answer_count = 0
         self._run_count = 0
         self._waited_s = 0.0
         self._longest_gap_s = 0.0
@@ -340,10 +340,12 @@
             raise SampleFailedError(
                 f"the engine refused the sample for good with status {status}"
             )
-        self._failures += 1
+        self._error_answer_count += 1
         self._log_run_end(target, f"status {status}")
-        if self._failures >= self._current_route().max_attempts:
-            raise SampleFailedError(f"{self._failures} runs ended with an error status")
+        if self._error_answer_count >= self._current_route().max_attempts:
+            raise SampleFailedError(
+                f"{self._error_answer_count} runs ended with an error status"
+            )
 
     def _record_failure(self, target: TrackedEndpoint, reason: str) -> None:
         target.note_failure(self._clock.monotonic())
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -180,7 +180,7 @@
         run = self._runs.get(batch_id)
         fence = self._fences.get(batch_id)
         if run is None or fence is None:
-            await self._stop(batch_id)
+            await self._stop_work(batch_id)
             return
         if not await self._progress_store.save(
             run.batch.model, run.unfinished_progress()
@@ -201,7 +201,7 @@
             _log.info("batches: had another owner already", batch=batch_id)
         else:
             _log.info("batches: handed over", batch=batch_id)
-        await self._stop(batch_id)
+        await self._stop_work(batch_id)
 
     def _start_work(
         self, batch_id: BatchId, fence: RowVersion, batch: Batch | None = None
@@ -267,7 +267,7 @@
         if obsolete:
             await self._progress_store.drop(batch.model, obsolete)
 
-    async def _stop(self, batch_id: BatchId) -> None:
+    async def _stop_work(self, batch_id: BatchId) -> None:
         task = self._tasks.get(batch_id)
         if task is not None:
             task.cancel()
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -34,8 +34,8 @@
 
 
 def request_slot(dispatcher, rank=0.0, version=1, group="g", sample="x"):
-    wanted = demand(rank, version, group, sample)
-    return asyncio.ensure_future(dispatcher.acquire(wanted))
+    slot_demand = demand(rank, version, group, sample)
+    return asyncio.ensure_future(dispatcher.acquire(slot_demand))
 
 
 async def granted_ids(*tasks):
@@ -110,12 +110,12 @@
 async def test_an_engine_moved_elsewhere_gets_no_further_samples(
     dispatcher, directory, moved
 ):
-    wanted = SlotDemand("x", (0.0,), "s", "m", 1, "g", ("north",))
-    assert (await dispatcher.acquire(wanted)).endpoint.id == "a"
+    slot_demand = SlotDemand("x", (0.0,), "s", "m", 1, "g", ("north",))
+    assert (await dispatcher.acquire(slot_demand)).endpoint.id == "a"
     entry = directory.get("a").endpoint
     directory.put(msgspec.structs.replace(entry, **moved))
     for _ in range(2):
-        assert (await dispatcher.acquire(wanted)).endpoint.id == "b"
+        assert (await dispatcher.acquire(slot_demand)).endpoint.id == "b"
 
 
 async def test_a_new_engine_is_found_by_the_next_search(
@@ -209,13 +209,13 @@
 async def test_an_engine_that_failed_gets_one_sample_until_it_responds(
     dispatcher, directory, hand_clock
 ):
-    dark = directory.get("b")
-    dark.note_failure(hand_clock.monotonic())
+    failed_engine = directory.get("b")
+    failed_engine.note_failure(hand_clock.monotonic())
     hand_clock.advance(MAX_SUSPENSION_S)
     tasks = [request_slot(dispatcher) for _ in range(4)]
     # The failed engine is chosen last, although it is as free as the other.
     assert await granted_ids(*tasks) == ["a", "a", "b", None]
-    dark.note_alive()
+    failed_engine.note_alive()
     dispatcher.release(tasks[0].result(), "g")
     assert None not in await granted_ids(*tasks)
 
@@ -225,11 +225,11 @@
 ):
     directory.get("a").note_event_gap(0.1)
     directory.get("b").note_event_gap(0.03)
-    slow, quick = directory.get("a"), directory.get("b")
-    quick.note_failure(hand_clock.monotonic())
+    slow, fast = directory.get("a"), directory.get("b")
+    fast.note_failure(hand_clock.monotonic())
     hand_clock.advance(MAX_SUSPENSION_S)
     assert not dispatcher.should_move(demand(), slow, 100)
-    quick.note_alive()
+    fast.note_alive()
     assert dispatcher.should_move(demand(), slow, 100)
 
 
@@ -241,11 +241,11 @@
     running = [request_slot(dispatcher, group=f"g{number}") for number in range(4)]
     assert await granted_ids(*running) == ["b", "b", "a", "a"]
     waiting = request_slot(dispatcher)
-    long_one = demand(rank=9.0, sample="long")
-    assert not dispatcher.should_move(long_one, directory.get("a"), 50)
+    long_demand = demand(rank=9.0, sample="long")
+    assert not dispatcher.should_move(long_demand, directory.get("a"), 50)
     dispatcher.release(running[0].result(), "g0")
     assert await granted_ids(waiting) == [None]
-    assert dispatcher.should_move(long_one, directory.get("a"), 50)
+    assert dispatcher.should_move(long_demand, directory.get("a"), 50)
     moved = request_slot(dispatcher, rank=9.0, sample="long")
     assert await granted_ids(waiting, moved) == [None, "b"]
     dispatcher.release(running[1].result(), "g1")
--- a/tests/batches/test_repository.py
+++ b/tests/batches/test_repository.py
@@ -82,8 +82,8 @@
 
 async def test_a_replaced_owner_lists_nothing(repository):
     fence = (await repository.accept(batch(), THIS_OWNER)).fence
-    taken = await repository.set_owner("b1", fence, OTHER_OWNER)
-    assert taken > fence
+    new_fence = await repository.set_owner("b1", fence, OTHER_OWNER)
+    assert new_fence > fence
     assert not await repository.add_results("b1", fence, 0, [result(0)])
     assert await repository.results("b1", 0) == ()
     assert await repository.set_owner("b1", fence, THIS_OWNER) is None
