--- a/src/bankrudder/batches/_run.py
+++ b/src/bankrudder/batches/_run.py
@@ -139,8 +139,8 @@
         """Version of the row that makes this host the owner."""
         return self._fence
 
-    def obsolete_progress(self) -> list[SampleId]:
-        """Return the listed samples of which progress is saved."""
+    def obsolete_progress_ids(self) -> list[SampleId]:
+        """Return the listed samples whose progress is saved and no longer needed."""
         return [key for key in self._saved_event_numbers if key in self._listed_samples]
 
     def unfinished_progress(self) -> list[tuple[SampleId, Progress]]:
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -263,7 +263,7 @@
             carried=len(carried),
         )
         await run.run()
-        obsolete = run.obsolete_progress()
+        obsolete = run.obsolete_progress_ids()
         if obsolete:
             await self._progress_store.drop(batch.model, obsolete)
 
@@ -302,7 +302,9 @@
         unfinished_progress = run.unfinished_progress()
         await self._progress_store.save(run.batch.model, unfinished_progress)
         unfinished_ids = {sample_id for sample_id, _ in unfinished_progress}
-        obsolete = [key for key in run.obsolete_progress() if key not in unfinished_ids]
+        obsolete = [
+            key for key in run.obsolete_progress_ids() if key not in unfinished_ids
+        ]
         if obsolete:
             await self._progress_store.drop(run.batch.model, obsolete)
 
