--- a/src/bankrudder/batches/_carried.py
+++ b/src/bankrudder/batches/_carried.py
@@ -1,9 +1,9 @@
 """Samples that are carried over from an earlier batch of the same model.
 
-A trainer may submit a group that was incomplete when its batch ended again in a later
-batch, and then waits for it. The store cannot tell such samples: no progress is saved
-for a sample whose result was listed but not read in time. So the host that works on a
-model's batches keeps their sample identifiers in memory.
+If a trainer has not received a whole group when its batch ends, it may submit the group
+again in a later batch and wait for it there. The store does not identify all such
+groups: one whose results were listed but not read in time leaves no saved progress. So
+the host that works on a model's batches keeps their sample identifiers in memory.
 """
 
 from collections import deque
--- a/src/bankrudder/batches/_cleaning.py
+++ b/src/bankrudder/batches/_cleaning.py
@@ -46,7 +46,7 @@
 
 
 class FirstSeen(msgspec.Struct, frozen=True):
-    """Store time at which a batch or some progress was first seen in its state."""
+    """Store time at which a batch, or a model's progress, was first seen as it is."""
 
     store_time_s: float
 
@@ -116,7 +116,7 @@
     async def _is_due(
         self, name: str, now_s: float, min_age_s: float | None = None
     ) -> bool:
-        """Whether a part was first seen `min_age_s` ago; record the first sight."""
+        """Whether a part has been known for `min_age_s`; record it if it is new."""
         min_age_s = self._min_age_s if min_age_s is None else min_age_s
         page = await self._store.read(FIRST_SEEN_TABLE, name)
         if page.rows:
--- a/src/bankrudder/batches/_event_timeout.py
+++ b/src/bankrudder/batches/_event_timeout.py
@@ -1,7 +1,7 @@
 """Timeouts for the start and the next event of a stream from an engine.
 
 The timeout of an event follows the engine's usual time between two events, so that a
-stalled fast engine is noticed early and a slow one is not given up.
+stalled fast engine is noticed early and a slow one gets more time.
 """
 
 import asyncio
--- a/src/bankrudder/batches/_loading.py
+++ b/src/bankrudder/batches/_loading.py
@@ -39,7 +39,7 @@
 
 
 class LoadedBatch(msgspec.Struct, frozen=True):
-    """A batch, its results in the store, and the saved progress of its samples."""
+    """A batch, its listed results, and the saved progress of its samples."""
 
     batch: Batch
     listed: Sequence[SampleResult]
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -20,7 +20,7 @@
 rarely try at once."""
 
 MAX_TAKEOVER_RANK = 3
-"""Largest rank that delays a takeover; hosts with a higher one wait no longer."""
+"""Upper limit of the rank that determines how long a host waits."""
 
 NEWEST_BATCH_WEIGHT = 0.3
 """Weight of the newest batch in the moving averages of the size of a model's batches
@@ -140,7 +140,7 @@
         )
 
     def takeover_candidates(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
-        """Yield the batches without a live owner that are due for this host."""
+        """Yield the batches without a live owner whose delay for this host is over."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
             if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -140,8 +140,8 @@
             case Committed(version=version):
                 return AcceptOutcome(version)
             case Conflict(rows=(row, *_)):
-                kept = msgspec.json.decode(row.value, type=BatchHead)
-                return AcceptOutcome(ABSENT, kept.digest == digest)
+                stored_head = msgspec.json.decode(row.value, type=BatchHead)
+                return AcceptOutcome(ABSENT, stored_head.digest == digest)
             case Conflict():
                 raise NotSettledError
             case NotCommitted(trouble=trouble):
--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -50,7 +50,7 @@
 
 MAX_HOLD_S = 1.0
 """Longest pause before a sample under which engines crashed is checked again. An answer
-to the same content on any host, or another sample that explains the crashes, may clear
+to the same request on any host, or another sample that explains the crashes, may clear
 it at any time."""
 
 STATUS_UNPROCESSABLE = 422
@@ -64,11 +64,11 @@
 
     Parameters
     ----------
-    route_now : callable
+    find_route : callable
         Takes host name and target; returns the route that is configured for them.
     progress : Progress, optional
         Progress of an earlier owner or batch; ignored if its versions are unusable.
-    give_up_at : float
+    deadline : float
         Monotonic time at which the sample is given up.
     """
 
