--- a/src/bankrudder/batches/__init__.py
+++ b/src/bankrudder/batches/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from bankrudder.batches._cleaning import CLEANING_PAUSE_S, Cleaner
-from bankrudder.batches._ownership import OwnerBook
+from bankrudder.batches._ownership import OwnerRegistry
 from bankrudder.batches._progress import ProgressStore
 from bankrudder.batches._reading import BatchReader
 from bankrudder.batches._repository import BatchRepository, UnknownBatchError
@@ -30,7 +30,7 @@
     "BatchService",
     "CLEANING_PAUSE_S",
     "Cleaner",
-    "OwnerBook",
+    "OwnerRegistry",
     "ProgressStore",
     "ResultPage",
     "ResultState",
--- a/src/bankrudder/batches/_carried.py
+++ b/src/bankrudder/batches/_carried.py
@@ -12,7 +12,7 @@
 from bankrudder.routing import ModelName
 from bankrudder.world import SampleId
 
-REMEMBERED_BATCHES = 6
+REMEMBERED_BATCH_COUNT = 6
 """Latest batches of a model whose sample identifiers are kept; groups are submitted
 again two or three batches later."""
 
@@ -26,7 +26,9 @@
     def note(self, batch: Batch) -> frozenset[SampleId]:
         """Record a batch; return those of its samples that earlier batches had."""
         sample_ids = frozenset(sample.id for sample in batch.samples)
-        latest = self._latest.setdefault(batch.model, deque(maxlen=REMEMBERED_BATCHES))
+        latest = self._latest.setdefault(
+            batch.model, deque(maxlen=REMEMBERED_BATCH_COUNT)
+        )
         earlier_ids = [known for batch_id, known in latest if batch_id != batch.id]
         if all(batch_id != batch.id for batch_id, _ in latest):
             latest.append((batch.id, sample_ids))
--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -91,7 +91,7 @@
         self._eligible: dict[tuple[object, ...], _EligibleEngines] = {}
 
     @property
-    def waiting_count(self) -> int:
+    def waiting_sample_count(self) -> int:
         """Number of samples that wait for a slot."""
         return len(self._waiting)
 
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -30,7 +30,7 @@
 """Tokens that a sample without a length hint is expected to generate."""
 
 
-class OwnerBook:
+class OwnerRegistry:
     """The owners of all open batches, as read from the store.
 
     Parameters
@@ -87,11 +87,11 @@
         """Whether this run of this host is the owner."""
         return owner.lifetime == self._presence.lifetime
 
-    def work_of(self, model: ModelName) -> float:
+    def mean_batch_tokens(self, model: ModelName) -> float:
         """Return the mean size of a model's batches in tokens, 0 if none is known."""
         return self._mean_batch_tokens.get(model, 0.0)
 
-    def samples_of(self, model: ModelName) -> int:
+    def largest_batch_sample_count(self, model: ModelName) -> int:
         """Return the sample count of a model's largest batch, 0 if none is known."""
         return self._largest_sample_count.get(model, 0)
 
@@ -202,7 +202,7 @@
         self._mean_open_s[model] = mean + NEWEST_BATCH_WEIGHT * (open_s - mean)
 
     def _record_batch_size(self, owner: Owner) -> None:
-        samples = max(owner.samples, self.samples_of(owner.model))
+        samples = max(owner.samples, self.largest_batch_sample_count(owner.model))
         self._largest_sample_count[owner.model] = samples
         mean = self._mean_batch_tokens.get(owner.model, owner.work)
         self._mean_batch_tokens[owner.model] = mean + NEWEST_BATCH_WEIGHT * (
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -15,7 +15,7 @@
 from bankrudder.batches._carried import CarriedSamples
 from bankrudder.batches._dispatcher import Dispatcher
 from bankrudder.batches._loading import BatchLoader
-from bankrudder.batches._ownership import OwnerBook
+from bankrudder.batches._ownership import OwnerRegistry
 from bankrudder.batches._progress import ProgressStore
 from bankrudder.batches._repository import (
     OWNERS_TABLE,
@@ -94,7 +94,7 @@
         self._clock = clock
         self._dispatcher = Dispatcher(directory, clock)
         self._token_pace = TokenPace()
-        self._owners = OwnerBook(presence, clock, lambda: self._follower.is_loaded)
+        self._owners = OwnerRegistry(presence, clock, lambda: self._follower.is_loaded)
         self._carried = CarriedSamples()
         self._tasks: dict[BatchId, asyncio.Task[None]] = {}
         self._runs: dict[BatchId, BatchRun] = {}
@@ -111,19 +111,19 @@
         )
 
     @property
-    def owners(self) -> OwnerBook:
+    def owners(self) -> OwnerRegistry:
         """The owners of all open batches."""
         return self._owners
 
     @property
-    def running_count(self) -> int:
+    def running_batch_count(self) -> int:
         """Number of batches that this host works on."""
         return len(self._tasks)
 
     @property
-    def waiting_count(self) -> int:
+    def waiting_sample_count(self) -> int:
         """Number of samples that wait for a slot."""
-        return self._dispatcher.waiting_count
+        return self._dispatcher.waiting_sample_count
 
     async def accept(self, batch: Batch) -> bool:
         """Store a batch, and start work on it if this host is its owner.
@@ -163,7 +163,7 @@
             group.create_task(self._dispatcher.run())
             group.create_task(self._take_over_ownerless())
 
-    async def release_all(self) -> bool:
+    async def hand_over_all(self) -> bool:
         """Hand all batches and their progress over to other hosts.
 
         Returns
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -148,8 +148,8 @@
         """Yield what the node holds now, for its metrics."""
         routes = self._parts.view.routes
         levels = {
-            "bankrudder_batches_in_work": self._parts.batches.running_count,
-            "bankrudder_samples_waiting": self._parts.batches.waiting_count,
+            "bankrudder_batches_in_work": self._parts.batches.running_batch_count,
+            "bankrudder_samples_waiting": self._parts.batches.waiting_sample_count,
             "bankrudder_endpoints_listed": len(self._parts.directory),
             "bankrudder_endpoints_unreadable": self._parts.directory.unreadable_count,
             "bankrudder_crashing_contents": len(self._parts.crashes),
@@ -197,11 +197,11 @@
         )
         await self._wait(
             began + BATCHES_SHARE * grace_s,
-            lambda: self._parts.batches.running_count == 0,
+            lambda: self._parts.batches.running_batch_count == 0,
             began + NOTICE_S,
         )
         end = began + grace_s - STOP_MARGIN_S
-        while not await self._parts.batches.release_all():
+        while not await self._parts.batches.hand_over_all():
             if self._clock.monotonic() >= end:
                 break
             await asyncio.sleep(RELEASE_PAUSE_S)
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_parts.py
@@ -153,7 +153,7 @@
         """Tell how quick the engines are, and learn it while giving orders."""
         while True:
             await asyncio.sleep(PACES_PAUSE_S)
-            if self.batches.running_count:
+            if self.batches.running_batch_count:
                 await self._paces.tell()
             if self.lease.is_valid:
                 await self._paces.look()
--- a/src/bankrudder/node/_supply.py
+++ b/src/bankrudder/node/_supply.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from bankrudder.batches import OwnerBook
+from bankrudder.batches import OwnerRegistry
 from bankrudder.duties import Duty, DutyApi
 from bankrudder.fleet import EndpointDirectory
 from bankrudder.leases import Lease, repeat_on_duty
@@ -26,7 +26,7 @@
         lease: Lease,
         routes: Callable[[], RoutingTable | None],
         directory: EndpointDirectory,
-        owners: OwnerBook,
+        owners: OwnerRegistry,
         clock: Clock,
     ):
         self.lease = lease
--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -55,11 +55,11 @@
         """Whether all of them are known."""
         ...
 
-    def work_of(self, model: ModelName) -> float:
+    def mean_batch_tokens(self, model: ModelName) -> float:
         """Return the size of a model's latest batches in tokens, 0 if unknown."""
         ...
 
-    def samples_of(self, model: ModelName) -> int:
+    def largest_batch_sample_count(self, model: ModelName) -> int:
         """Return the samples of a model's largest batch, 0 if none is known."""
         ...
 
@@ -186,7 +186,9 @@
 
     def _assign(self, service: ServiceName, engines: Sequence[TrackedEndpoint]) -> None:
         models = {state.model for each in engines for state in each.endpoint.models}
-        shares = {model: self._open_batches.work_of(model) for model in models}
+        shares = {
+            model: self._open_batches.mean_batch_tokens(model) for model in models
+        }
         before = self._assigned.get(service)
         if before is None:
             versions = {each.endpoint.id: each.versions for each in engines}
@@ -212,7 +214,10 @@
     ) -> dict[ModelName, int]:
         """Return how many engines each model's samples can use, where that is known."""
         slots = min((each.endpoint.slots for each in engines), default=1)
-        samples = {model: self._open_batches.samples_of(model) for model in models}
+        samples = {
+            model: self._open_batches.largest_batch_sample_count(model)
+            for model in models
+        }
         return {
             model: math.ceil(OPEN_BATCHES * count / slots) + SPARE_ENGINES
             for model, count in samples.items()
--- a/src/bankrudder/supply/_keeping.py
+++ b/src/bankrudder/supply/_keeping.py
@@ -10,7 +10,7 @@
 import msgspec
 import structlog
 
-from bankrudder.batches import OwnerBook
+from bankrudder.batches import OwnerRegistry
 from bankrudder.duties import Duty, DutyOutcome, EndpointOrder
 from bankrudder.fleet import EndpointDirectory
 from bankrudder.routing import RoutingTable, Scaling, Service, ServiceName
@@ -55,7 +55,7 @@
         duty: Duty,
         routes: Callable[[], RoutingTable | None],
         directory: EndpointDirectory,
-        owners: OwnerBook,
+        owners: OwnerRegistry,
         fence: Callable[[], RowVersion],
         clock: Clock,
     ):
@@ -117,7 +117,7 @@
         samples = {
             model: count
             for model in service.models
-            if (count := self._owners.samples_of(model))
+            if (count := self._owners.largest_batch_sample_count(model))
         }
         engines = self._directory.of_service(service.name)
         slots = min((each.endpoint.slots for each in engines), default=1)
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from bankrudder.batches._ownership import NEWEST_BATCH_WEIGHT, OwnerBook
+from bankrudder.batches._ownership import NEWEST_BATCH_WEIGHT, OwnerRegistry
 from bankrudder.batches._values import Owner
 from bankrudder.presence import Presence
 
 
 @pytest.fixture
 def owners(store, hand_clock):
-    return OwnerBook(Presence(store, "h", "life", hand_clock), hand_clock)
+    return OwnerRegistry(Presence(store, "h", "life", hand_clock), hand_clock)
 
 
 def owner(model="m"):
@@ -67,7 +67,7 @@
 
 async def test_an_owner_newer_than_the_hosts_read_is_not_replaced(hand_clock):
     hosts = FakePresence(read_version=5)
-    owners = OwnerBook(hosts, hand_clock)
+    owners = OwnerRegistry(hosts, hand_clock)
     owners.put("b1", owner(), 6)
     assert list(owners.takeover_candidates()) == []
     hosts.read_version = 6
@@ -77,6 +77,6 @@
 async def test_an_owner_missing_from_the_hosts_read_is_replaced_at_once(
     hand_clock,
 ):
-    owners = OwnerBook(FakePresence(read_version=9), hand_clock)
+    owners = OwnerRegistry(FakePresence(read_version=9), hand_clock)
     owners.put("b1", owner(), 6)
     assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -37,10 +37,10 @@
 
     is_loaded = True
 
-    def work_of(self, model):
+    def mean_batch_tokens(self, model):
         return 1.0
 
-    def samples_of(self, model):
+    def largest_batch_sample_count(self, model):
         return 4
 
     def open_seconds(self):
--- a/tests/orders/test_switching.py
+++ b/tests/orders/test_switching.py
@@ -32,10 +32,10 @@
         self._needed = needed
         self._samples = samples
 
-    def work_of(self, model):
+    def mean_batch_tokens(self, model):
         return 1.0
 
-    def samples_of(self, model):
+    def largest_batch_sample_count(self, model):
         return self._samples
 
     def open_seconds(self):
--- a/tests/scheduling/test_ranking.py
+++ b/tests/scheduling/test_ranking.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bankrudder.batches import Batch, Sample
-from bankrudder.batches._carried import REMEMBERED_BATCHES, CarriedSamples
+from bankrudder.batches._carried import REMEMBERED_BATCH_COUNT, CarriedSamples
 from bankrudder.scheduling import TokenPace, sample_ranks
 
 
@@ -95,6 +95,6 @@
     assert carried.note(first) == frozenset()  # begun once more, after a takeover
     again = batch({"b": [1], "c": [1]}, target=1, name="two")
     assert carried.note(again) == {"b0"}
-    for number in range(REMEMBERED_BATCHES):
+    for number in range(REMEMBERED_BATCH_COUNT):
         carried.note(batch({"x": [1]}, target=1, name=f"later-{number}"))
     assert carried.note(batch({"a": [1]}, target=1, name="last")) == frozenset()
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -29,7 +29,7 @@
     def __init__(self, **samples):
         self.samples = samples
 
-    def samples_of(self, model):
+    def largest_batch_sample_count(self, model):
         return self.samples.get(model, 0)
 
 
