--- a/src/bankrudder/batches/_progress.py
+++ b/src/bankrudder/batches/_progress.py
@@ -1,7 +1,7 @@
-"""What was generated of samples that did not end.
+"""Storage of the progress of unfinished samples.
 
-It lies in ``progress``, in one part for each model, so that a new owner of a batch, or
-a later batch with the same sample, finds it. Writes need no condition: text that is
+The table ``progress`` has one part for each model, so that a new owner of a batch, or a
+later batch with the same sample, finds the rows. Writes are unconditional: text that is
 lost or too old is generated again.
 """
 
@@ -30,43 +30,43 @@
 
 
 class ProgressStore:
-    """Reads and writes progress."""
+    """Reads and writes the progress of samples in the store."""
 
     def __init__(self, store: Store, row_bytes: int):
         self._store = store
-        self._row_bytes = row_bytes - ROW_MARGIN_BYTES
+        self._max_value_bytes = row_bytes - ROW_MARGIN_BYTES
 
     async def save(
         self, model: ModelName, progress: Iterable[tuple[SampleId, Progress]]
     ) -> bool:
-        """Keep what was generated of samples; what does not fit is left out.
+        """Save the progress of samples; progress too large for a row is skipped.
 
         Returns
         -------
         bool
-            Whether all that fits is kept.
+            Whether all other progress was saved.
         """
         is_kept = True
         puts: list[Put] = []
-        size = 0
+        transaction_bytes = 0
         for sample_id, each in progress:
             value = msgspec.msgpack.encode(each)
-            if len(value) > self._row_bytes:
+            if len(value) > self._max_value_bytes:
                 continue
             if (
-                size + len(value) > MAX_TRANSACTION_BYTES
+                transaction_bytes + len(value) > MAX_TRANSACTION_BYTES
                 or len(puts) >= MAX_TRANSACTION_ROWS
             ):
                 is_kept &= await self._put_rows(puts)
-                puts, size = [], 0
+                puts, transaction_bytes = [], 0
             puts.append(Put(RowKey(PROGRESS_TABLE, model, sample_id), value))
-            size += len(value)
+            transaction_bytes += len(value)
         if puts:
             is_kept &= await self._put_rows(puts)
         return is_kept
 
     async def of_model(self, model: ModelName) -> dict[SampleId, Progress]:
-        """Return all progress that is kept for a model."""
+        """Return all saved progress of a model."""
         rows = await read_all(self._store, PROGRESS_TABLE, model)
         return {
             SampleId(row.key.key): msgspec.msgpack.decode(row.value, type=Progress)
@@ -74,11 +74,11 @@
         }
 
     async def drop(self, model: ModelName, samples: Iterable[SampleId]) -> None:
-        """Remove progress that is no longer needed; failing to is harmless."""
+        """Remove progress that is no longer needed, ignoring failures."""
         keys = [RowKey(PROGRESS_TABLE, model, sample) for sample in samples]
         for start in range(0, len(keys), MAX_TRANSACTION_ROWS):
-            some = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
-            await self._store.commit(Transaction(removals=some))
+            key_chunk = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
+            await self._store.commit(Transaction(removals=key_chunk))
 
     async def _put_rows(self, puts: Sequence[Put]) -> bool:
         outcome = await self._store.commit(Transaction(puts=tuple(puts)))
