--- a/src/bankrudder/batches/__init__.py
+++ b/src/bankrudder/batches/__init__.py
@@ -1,7 +1,12 @@
-"""Batches of samples: acceptance, work on them, results."""
+"""Batches of samples: acceptance, generation, and delivery of the results.
+
+A batch holds the samples of one step of a trainer. One host owns it: it generates the
+samples on the engines, scores them and writes their results to the store. Any host can
+accept a batch, answer reads of it, or take it over when its owner is lost.
+"""
 
 from bankrudder.batches._cleaning import CLEANING_PAUSE_S, Cleaner
-from bankrudder.batches._ownership import OwnerBook
+from bankrudder.batches._ownership import OwnerRegistry
 from bankrudder.batches._progress import ProgressStore
 from bankrudder.batches._reading import BatchReader
 from bankrudder.batches._repository import BatchRepository, UnknownBatchError
@@ -25,7 +30,7 @@
     "BatchService",
     "CLEANING_PAUSE_S",
     "Cleaner",
-    "OwnerBook",
+    "OwnerRegistry",
     "ProgressStore",
     "ResultPage",
     "ResultState",
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -1,4 +1,9 @@
-"""Who works on which batch, and who should."""
+"""Owners of the open batches, and the choice of new owners.
+
+A batch goes to the host that owned the latest batch of its model. If an owner is lost,
+the hosts try to take its batches over one after the other, in an order that each of
+them computes from the same rows.
+"""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 
@@ -10,22 +15,29 @@
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId, ModelVersion
 
-RANK_DELAY_S = 0.4
-"""Hosts take over one after the other, this far apart, so that seldom two try."""
+TAKEOVER_STAGGER_S = 0.4
+"""Delay between the attempts of successive hosts to take over a batch, so that two
+rarely try at once."""
+
+MAX_TAKEOVER_RANK = 3
+"""Upper limit of the rank that determines how long a host waits."""
 
-MAX_RANK = 3
-"""Hosts beyond it wait no longer than this rank."""
+NEWEST_BATCH_WEIGHT = 0.3
+"""Weight of the newest batch in the moving averages of the size of a model's batches
+and of the time for which they are open."""
 
-WORK_WEIGHT = 0.3
-"""Weight of the newest batch in the mean size of a model's batches, and in the mean
-time for which they are open."""
+DEFAULT_TOKEN_COUNT = 1000
+"""Tokens that a sample without a length hint is expected to generate."""
 
-USUAL_TOKENS = 1000
-"""Tokens that a sample is expected to generate if it says nothing."""
 
+class OwnerRegistry:
+    """The owners of all open batches, as read from the store.
 
-class OwnerBook:
-    """The owners of all open batches, as the store tells them."""
+    Parameters
+    ----------
+    is_loaded : callable
+        Whether the rows of all open batches have been read once.
+    """
 
     def __init__(
         self,
@@ -39,56 +51,56 @@
         self._owners: dict[BatchId, tuple[Owner, RowVersion]] = {}
         self._ownerless_since: dict[BatchId, float] = {}
         self._last_owner: dict[ModelName, HostId] = {}
-        self._mean_work: dict[ModelName, float] = {}
-        self._most_samples: dict[ModelName, int] = {}
+        self._mean_batch_tokens: dict[ModelName, float] = {}
+        self._largest_sample_count: dict[ModelName, int] = {}
         self._opened_at: dict[BatchId, float] = {}
         self._mean_open_s: dict[ModelName, float] = {}
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the rows of all open batches were read once."""
+        """Whether the rows of all open batches have been read once."""
         return self._is_loaded()
 
     def get(self, batch_id: BatchId) -> Owner | None:
-        """Return the owner's row of a batch, None if the batch is not open."""
+        """Return the owner of a batch, None if the batch is not open."""
         known = self._owners.get(batch_id)
         return known[0] if known is not None else None
 
     def put(self, batch_id: BatchId, owner: Owner, version: RowVersion) -> None:
-        """Take a new or changed row."""
+        """Apply a new or changed owner row."""
         if batch_id not in self._owners:
-            self._note_work(owner)
+            self._record_batch_size(owner)
             self._opened_at[batch_id] = self._clock.monotonic()
         self._owners[batch_id] = (owner, version)
         if owner.host:
             self._last_owner[owner.model] = HostId(owner.host)
 
     def remove(self, batch_id: BatchId) -> None:
-        """Forget a batch that was ended."""
+        """Remove a batch that was ended."""
         known = self._owners.pop(batch_id, None)
         opened_at = self._opened_at.pop(batch_id, None)
         if known is not None and opened_at is not None:
-            self._note_end(known[0].model, self._clock.monotonic() - opened_at)
+            self._record_open_time(known[0].model, self._clock.monotonic() - opened_at)
         self._ownerless_since.pop(batch_id, None)
 
     def is_mine(self, owner: Owner) -> bool:
         """Whether this run of this host is the owner."""
         return owner.lifetime == self._presence.lifetime
 
-    def work_of(self, model: ModelName) -> float:
-        """Return the mean size of a model's latest batches in tokens, 0 if unknown."""
-        return self._mean_work.get(model, 0.0)
+    def mean_batch_tokens(self, model: ModelName) -> float:
+        """Return the mean size of a model's batches in tokens, 0 if none is known."""
+        return self._mean_batch_tokens.get(model, 0.0)
 
-    def samples_of(self, model: ModelName) -> int:
-        """Return the samples of a model's largest batch so far, 0 if none is known."""
-        return self._most_samples.get(model, 0)
+    def largest_batch_sample_count(self, model: ModelName) -> int:
+        """Return the sample count of a model's largest batch, 0 if none is known."""
+        return self._largest_sample_count.get(model, 0)
 
     def open_seconds(self) -> Mapping[ModelName, float]:
-        """Return for how long the latest batches of each model were open."""
+        """Return the mean time for which ended batches of each model were open."""
         return self._mean_open_s
 
     def needed_version(self, model: ModelName) -> ModelVersion:
-        """Return the newest of the oldest versions that open batches allow."""
+        """Return the oldest version that all open batches of a model allow."""
         needed = (
             owner.min_version
             for owner, _ in self._owners.values()
@@ -96,20 +108,20 @@
         )
         return max(needed, default=ModelVersion(0))
 
-    def pick(self, batch: Batch, *, may_be_me: bool) -> Owner:
-        """Return who shall work on a new batch: the owner of the model's last one.
+    def choose_owner(self, batch: Batch, *, may_choose_this_host: bool) -> Owner:
+        """Return the owner for a new batch: the owner of the model's latest batch.
 
-        That host has connections to the engines and knows how quick they are. The
-        owner is empty if nobody is known; then the batch is taken over.
+        That host has connections to the engines and has measured their speed. The owner
+        is empty if no host is known; a host then takes the batch over.
         """
         hosts = [
             host
             for host in self._presence.batch_hosts(batch.data_centres)
-            if may_be_me or host != self._presence.host
+            if may_choose_this_host or host != self._presence.host
         ]
         host = self._last_owner.get(batch.model)
         if host not in hosts:
-            host = self._roomiest(hosts, batch.model)
+            host = self._host_with_most_capacity(hosts, batch.model)
         lifetime = self._lifetime_of(host)
         return Owner(
             host=host if host is not None and lifetime is not None else "",
@@ -121,34 +133,34 @@
             samples=len(batch.samples),
         )
 
-    def mine(self, before: Owner) -> Owner:
-        """Return the row that makes this host the owner."""
+    def claimed_row(self, before: Owner) -> Owner:
+        """Return the owner row with this host as the owner."""
         return msgspec.structs.replace(
             before, host=self._presence.host, lifetime=self._presence.lifetime
         )
 
-    def due_for_me(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
-        """Yield the batches that nobody works on and this host should take over."""
+    def takeover_candidates(self) -> Iterator[tuple[BatchId, Owner, RowVersion]]:
+        """Yield the batches without a live owner whose delay for this host is over."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
-            if self._has_owner(owner) or self._may_be_new(version):
+            if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
             if not self._presence.is_in(self._presence.host, owner.data_centres):
                 continue
-            if now - since >= self._rank(batch_id, owner) * RANK_DELAY_S:
+            if now - since >= self._takeover_rank(batch_id, owner) * TAKEOVER_STAGGER_S:
                 yield batch_id, owner, version
 
-    def _may_be_new(self, version: RowVersion) -> bool:
-        """Whether an owner's row is newer than what is known of the hosts.
+    def _is_newer_than_hosts(self, version: RowVersion) -> bool:
+        """Whether an owner row is newer than the heartbeats read by this host.
 
-        It may name a run whose first heartbeat has not been read here, as hosts that
-        have just started are given batches at once.
+        Such a row may name a run whose first heartbeat has not been read yet, as hosts
+        get batches right after their start. Its owner is not taken to be lost.
         """
         return version > self._presence.read_version
 
-    def _has_owner(self, owner: Owner) -> bool:
+    def _has_live_owner(self, owner: Owner) -> bool:
         if not owner.host:
             return False
         return self._presence.is_alive(HostId(owner.host), Lifetime(owner.lifetime))
@@ -160,39 +172,43 @@
             return self._presence.lifetime
         return self._presence.lifetime_of(host)
 
-    def _rank(self, batch_id: BatchId, owner: Owner) -> int:
-        """Return this host's place among those that would take a batch over."""
+    def _takeover_rank(self, batch_id: BatchId, owner: Owner) -> int:
+        """Return the position of this host in the takeover order of a batch."""
         hosts = sorted(
             self._presence.live_hosts(owner.data_centres),
             key=lambda host: (-self._presence.room_of(host), draw(batch_id, host)),
         )
         if self._presence.host not in hosts:
-            return MAX_RANK
-        return min(hosts.index(self._presence.host), MAX_RANK)
-
-    def _roomiest(self, hosts: Sequence[HostId], model: ModelName) -> HostId | None:
-        """Return a host with much room, another one for each model if there are."""
-        taken = set(self._last_owner.values())
+            return MAX_TAKEOVER_RANK
+        return min(hosts.index(self._presence.host), MAX_TAKEOVER_RANK)
+
+    def _host_with_most_capacity(
+        self, hosts: Sequence[HostId], model: ModelName
+    ) -> HostId | None:
+        """Return the host with the most capacity; hosts without batches win ties."""
+        latest_owners = set(self._last_owner.values())
         return max(
             hosts,
             key=lambda host: (
                 self._presence.room_of(host),
-                host not in taken,
+                host not in latest_owners,
                 draw(model, host),
             ),
             default=None,
         )
 
-    def _note_end(self, model: ModelName, open_s: float) -> None:
+    def _record_open_time(self, model: ModelName, open_s: float) -> None:
         mean = self._mean_open_s.get(model, open_s)
-        self._mean_open_s[model] = mean + WORK_WEIGHT * (open_s - mean)
-
-    def _note_work(self, owner: Owner) -> None:
-        samples = max(owner.samples, self.samples_of(owner.model))
-        self._most_samples[owner.model] = samples
-        mean = self._mean_work.get(owner.model, owner.work)
-        self._mean_work[owner.model] = mean + WORK_WEIGHT * (owner.work - mean)
+        self._mean_open_s[model] = mean + NEWEST_BATCH_WEIGHT * (open_s - mean)
+
+    def _record_batch_size(self, owner: Owner) -> None:
+        samples = max(owner.samples, self.largest_batch_sample_count(owner.model))
+        self._largest_sample_count[owner.model] = samples
+        mean = self._mean_batch_tokens.get(owner.model, owner.work)
+        self._mean_batch_tokens[owner.model] = mean + NEWEST_BATCH_WEIGHT * (
+            owner.work - mean
+        )
 
 
 def _expected_tokens(batch: Batch) -> int:
-    return sum(sample.length_hint or USUAL_TOKENS for sample in batch.samples)
+    return sum(sample.length_hint or DEFAULT_TOKEN_COUNT for sample in batch.samples)
--- a/src/bankrudder/batches/_reading.py
+++ b/src/bankrudder/batches/_reading.py
@@ -1,4 +1,7 @@
-"""What trainers read: results by position, bodies of samples, ends."""
+"""Reads of batches for trainers: results by position, samples, and workspaces.
+
+A read needs nothing but the store, so any host can answer it.
+"""
 
 import asyncio
 from typing import TypeVar
@@ -14,19 +17,19 @@
 from bankrudder.store import StoreUnavailableError
 from bankrudder.world import Clock, SampleId, WorkspaceName
 
-Kept = TypeVar("Kept")
+Cached = TypeVar("Cached")
 
-POLL_S = 0.08
-"""How often the store is asked while a reader waits: a delay of half of it for each
-result, at the price of a read."""
+POLL_INTERVAL_S = 0.08
+"""Interval between reads of the store while a reader waits. A result is delayed by half
+of it on average; a shorter one costs more reads."""
 
-KEPT_HEADS = 512
-KEPT_BATCHES = 4
-"""Heads and whole batches that are kept in memory; they never change."""
+CACHED_HEAD_COUNT = 512
+CACHED_BATCH_COUNT = 4
+"""Largest numbers of cached heads and batches; neither ever changes."""
 
 
 class BatchReader:
-    """Answers reads from the store, so that any host can."""
+    """Answers reads of batches from the store."""
 
     def __init__(self, repository: BatchRepository, clock: Clock):
         self._repository = repository
@@ -39,26 +42,28 @@
     ) -> ResultPage | None:
         """Return results from a position on, None if there is no such batch.
 
+        Waits up to `wait_s` for the first result.
+
         Raises
         ------
         StoreUnavailableError
-            If that cannot be told now.
+            If the store does not answer.
         """
         until = self._clock.monotonic() + wait_s
         while True:
             try:
-                page = await self._page(batch_id, after)
+                page = await self._read_page(batch_id, after)
             except StoreUnavailableError:
-                # A reader that waits is answered when the store returns.
-                if self._clock.monotonic() + POLL_S >= until:
+                # Retry, so that a waiting reader is answered once the store is back.
+                if self._clock.monotonic() + POLL_INTERVAL_S >= until:
                     raise
             else:
                 left_s = until - self._clock.monotonic()
-                if page is None or page.is_enough or left_s <= POLL_S:
+                if page is None or page.ends_wait or left_s <= POLL_INTERVAL_S:
                     return page
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _page(self, batch_id: BatchId, after: int) -> ResultPage | None:
+    async def _read_page(self, batch_id: BatchId, after: int) -> ResultPage | None:
         head = await self._head(batch_id)
         if head is None:
             return None
@@ -66,12 +71,12 @@
         return ResultPage(head.sample_count, results, after + len(results))
 
     async def workspace_of(self, batch_id: BatchId) -> WorkspaceName | None:
-        """Return whose batch it is, None if there is no such batch.
+        """Return the workspace of a batch, None if there is no such batch.
 
         Raises
         ------
         StoreUnavailableError
-            If that cannot be told now.
+            If the store does not answer.
         """
         head = await self._head(batch_id)
         return head.workspace if head is not None else None
@@ -84,7 +89,7 @@
                 batch = await self._repository.load(batch_id)
             except UnknownBatchError:
                 return None
-            _keep(self._batches, batch_id, batch, KEPT_BATCHES)
+            _cache(self._batches, batch_id, batch, CACHED_BATCH_COUNT)
         for sample in batch.samples:
             if sample.id == sample_id:
                 return sample
@@ -95,11 +100,13 @@
         if head is None:
             head = await self._repository.head(batch_id)
             if head is not None:
-                _keep(self._heads, batch_id, head, KEPT_HEADS)
+                _cache(self._heads, batch_id, head, CACHED_HEAD_COUNT)
         return head
 
 
-def _keep(kept: dict[BatchId, Kept], key: BatchId, value: Kept, most: int) -> None:
-    if len(kept) >= most:
-        del kept[next(iter(kept))]
-    kept[key] = value
+def _cache(
+    cache: dict[BatchId, Cached], key: BatchId, value: Cached, max_count: int
+) -> None:
+    if len(cache) >= max_count:
+        del cache[next(iter(cache))]
+    cache[key] = value
--- /dev/null
+++ b/src/bankrudder/crashes/_admission.py
@@ -0,0 +1,135 @@
+"""The decision whether a request may be sent, by the endpoints that crashed during it.
+
+A request may crash each endpoint that begins to run it. Callers repeat the request and
+every host treats the repetition as a new request, so the request crashes all endpoints
+of a service, and crashes them again after they restart. All other requests that were in
+progress at these endpoints fail too and look the same. With simulated endpoints, one
+request that was made six times to a service of three endpoints caused 18 crashes; with
+this policy it causes three.
+
+A strike is recorded against a request content for each run of an endpoint that crashed
+while processing it. Strikes are counted over all attempts and hosts, but crashes whose
+attempts overlapped count once, since a common cause may crash many endpoints that work
+on a popular request. After `CRASH_LIMIT` crashes the content is refused for
+`BASE_PAUSE_S` and then sent to one endpoint at a time. Each further crash doubles the
+pause. From `ALONE_THRESHOLD` crashes on, the content is a suspect: it is not sent to an
+endpoint that works on another suspect, so that the next crash distinguishes them.
+
+The other requests that were in progress at crashed endpoints must not be refused. An
+answer clears a content; a server error does not, because it may precede the crash. A
+crash is not counted if another content explains it: one that was in progress there too
+and has more strikes. Two contents with the very same crashes can only be distinguished
+by another attempt, so both are refused only for the shorter `AMBIGUOUS_PAUSES_S`, and
+the next crash or answer decides.
+"""
+
+from collections.abc import Iterable, Mapping
+
+from bankrudder.crashes._content import ContentId
+from bankrudder.crashes._values import (
+    FREE,
+    Admission,
+    AdmissionDecision,
+    Strike,
+    UnixTime,
+)
+from bankrudder.fleet import EndpointRun
+
+CRASH_LIMIT = 3
+"""Number of crashes after which a content is refused. In a large fleet one endpoint
+fails by chance every day, and two in a row do so in a bad minute; a small service has
+no more than three endpoints."""
+
+ALONE_THRESHOLD = CRASH_LIMIT - 1
+"""Number of crashes from which a content is sent to one endpoint at a time, because two
+concurrent attempts could crash two more endpoints."""
+
+BASE_PAUSE_S = 600.0
+"""First refusal period of a content whose crashes no other content explains. Each
+attempt may cost an endpoint a few seconds, so an attempt every ten minutes takes less
+than a hundredth of its time."""
+
+MAX_PAUSE_S = 6 * 3600.0
+"""Longest refusal period, the time between two attempts."""
+
+AMBIGUOUS_PAUSES_S = (0.0, 3.0, 60.0)
+"""First refusal periods of a content if another content has the very same crashes, one
+period for each crash from the limit on. The first is zero, because a request that
+merely ran at the same time is repeated at once and must be served. The second lasts
+until crashed endpoints have restarted."""
+
+RETENTION_BELOW_LIMIT_S = 6 * 3600.0
+RETENTION_S = 24 * 3600.0
+"""How long strikes are kept after the last one, below the limit and from it on."""
+
+StrikesByContent = Mapping[ContentId, Mapping[EndpointRun, Strike]]
+
+
+def decide_admission(
+    content: ContentId, strikes: StrikesByContent, now: UnixTime
+) -> AdmissionDecision:
+    """Return whether a request with this content may be sent now."""
+    own_strikes = strikes.get(content)
+    if not own_strikes:
+        return FREE
+    counted = _unexplained_runs(content, strikes)
+    if len(counted) < ALONE_THRESHOLD:
+        return AdmissionDecision(Admission.FREE, len(counted))
+    count = _sequential_count(own_strikes[run] for run in counted)
+    if count < CRASH_LIMIT:
+        return AdmissionDecision(Admission.ALONE, count)
+    last = max(own_strikes[run].lost_at for run in counted)
+    pause_s = _pause_s(count - CRASH_LIMIT, _is_unambiguous(content, counted, strikes))
+    # A clock that is set back must not extend the refusal period.
+    left_s = min(last + pause_s - now, pause_s)
+    if left_s <= 0:
+        return AdmissionDecision(Admission.ALONE, count)
+    return AdmissionDecision(Admission.REFUSED, count, left_s)
+
+
+def is_outdated(runs: Mapping[EndpointRun, Strike], now: UnixTime) -> bool:
+    """Whether the strikes of a content are too old to be kept."""
+    keep_s = RETENTION_S if len(runs) >= CRASH_LIMIT else RETENTION_BELOW_LIMIT_S
+    return now - max(strike.lost_at for strike in runs.values()) > keep_s
+
+
+def _sequential_count(strikes: Iterable[Strike]) -> int:
+    """Count the crashes whose attempt was sent after the previously counted crash."""
+    count = 0
+    last: UnixTime | None = None
+    for strike in sorted(strikes, key=lambda each: each.lost_at):
+        if last is None or strike.sent_at >= last:
+            count += 1
+            last = strike.lost_at
+    return count
+
+
+def _unexplained_runs(
+    content: ContentId, strikes: StrikesByContent
+) -> frozenset[EndpointRun]:
+    """Return the runs whose crash is not explained by a content with more strikes."""
+    own_strikes = strikes[content]
+    left = set(own_strikes)
+    for other, runs in strikes.items():
+        if (
+            other != content
+            and len(runs) >= CRASH_LIMIT
+            and len(runs) > len(own_strikes)
+        ):
+            left -= runs.keys()
+    return frozenset(left)
+
+
+def _is_unambiguous(
+    content: ContentId, counted: frozenset[EndpointRun], strikes: StrikesByContent
+) -> bool:
+    """Whether no other content has strikes for all of the counted runs."""
+    return not any(
+        other != content and counted <= runs.keys() for other, runs in strikes.items()
+    )
+
+
+def _pause_s(tries: int, is_unambiguous: bool) -> float:
+    if not is_unambiguous and tries < len(AMBIGUOUS_PAUSES_S):
+        return AMBIGUOUS_PAUSES_S[tries]
+    return min(BASE_PAUSE_S * 2.0**tries, MAX_PAUSE_S)
