--- a/src/bankrudder/usage/__init__.py
+++ b/src/bankrudder/usage/__init__.py
@@ -1,8 +1,8 @@
-"""How much each workspace used, reported to the platform window by window."""
+"""Request counts of each workspace, reported to the platform per time window."""
 
 from bankrudder.usage._counting import UsageBook
-from bankrudder.usage._keeping import UsageKeeper, UsageRows
 from bankrudder.usage._reporting import REPORT_PAUSE_S, UsageReporter
+from bankrudder.usage._storage import UsageKeeper, UsageRows
 from bankrudder.usage._table import (
     UsageLine,
     WindowState,
--- a/src/bankrudder/usage/_counting.py
+++ b/src/bankrudder/usage/_counting.py
@@ -1,4 +1,4 @@
-"""Counts of one host, by window and workspace."""
+"""In-memory request counts of one host, by window and workspace."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -10,42 +10,48 @@
 
 
 class UsageBook:
-    """Counts the requests that endpoints began to run for this host."""
+    """Counts the requests of this host that an endpoint has started to run."""
 
     def __init__(self, terms: UsageTerms, time: TrueTime):
         self._terms = terms
         self._time = time
         self._counts: dict[UsageWindow, Counter[WorkspaceName]] = {}
-        self._changed: set[UsageWindow] = set()
+        self._unsaved_windows: set[UsageWindow] = set()
 
     @property
-    def changed(self) -> list[UsageWindow]:
-        """Windows whose counts grew since they were taken last, the oldest first."""
-        return sorted(self._changed)
+    def unsaved_windows(self) -> list[UsageWindow]:
+        """Windows whose counts grew since they were last taken, oldest first."""
+        return sorted(self._unsaved_windows)
 
     def note_begun(self, workspace: WorkspaceName, began_at: float) -> None:
-        """Count a request that began to run at a monotonic time."""
+        """Count a request in the window in which it started.
+
+        Parameters
+        ----------
+        began_at : float
+            Monotonic time at which the request started to run.
+        """
         if workspace == NO_WORKSPACE:
             return
         window = self._terms.window_at(self._time.at(began_at))
         self._counts.setdefault(window, Counter())[workspace] += 1
-        self._changed.add(window)
+        self._unsaved_windows.add(window)
 
-    def take(self, window: UsageWindow) -> Mapping[WorkspaceName, int]:
-        """Return all counts of a window, which is then not changed any more."""
-        self._changed.discard(window)
+    def take_counts(self, window: UsageWindow) -> Mapping[WorkspaceName, int]:
+        """Return all counts of a window and mark the window as saved."""
+        self._unsaved_windows.discard(window)
         return dict(self._counts.get(window, {}))
 
-    def put_back(self, window: UsageWindow) -> None:
-        """Take a window for changed again: its counts were not kept."""
-        self._changed.add(window)
+    def mark_unsaved(self, window: UsageWindow) -> None:
+        """Mark a window as unsaved again after its counts could not be written."""
+        self._unsaved_windows.add(window)
 
-    def oldest_in_time(self) -> UsageWindow:
-        """Return the oldest window whose report is not late yet."""
-        return self._terms.oldest_in_time(self._time.now())
+    def oldest_reportable(self) -> UsageWindow:
+        """Return the oldest window whose report is not yet overdue."""
+        return self._terms.oldest_reportable(self._time.now())
 
-    def forget_before(self, window: UsageWindow) -> None:
-        """Drop the counts of older windows that are kept elsewhere."""
+    def discard_before(self, window: UsageWindow) -> None:
+        """Discard the counts of older windows, except those not yet saved."""
         for old in [each for each in self._counts if each < window]:
-            if old not in self._changed:
+            if old not in self._unsaved_windows:
                 del self._counts[old]
--- a/src/bankrudder/usage/_reporting.py
+++ b/src/bankrudder/usage/_reporting.py
@@ -1,4 +1,4 @@
-"""Reports of usage by the host whose duty they are."""
+"""Usage reports, sent to the platform by the host that holds the reporting duty."""
 
 from collections.abc import Callable
 
@@ -7,38 +7,38 @@
 
 from bankrudder.duties import Duty, DutyOutcome, UsageReport, UsageWindow
 from bankrudder.store import NotSettledError, RowVersion, StoreUnavailableError
-from bankrudder.usage._keeping import KEPT_REPORTS, KeptReport, UsageRows
+from bankrudder.usage._storage import RETAINED_REPORT_COUNT, StoredReport, UsageRows
 from bankrudder.usage._time import TrueTime
 from bankrudder.usage._windows import UsageTerms
 
 REPORT_PAUSE_S = 0.25
-"""Pause between two looks whether a window can be reported: a twentieth of a usual
-window, for no call to the store."""
+"""Pause between two checks whether a window can be reported: a twentieth of a usual
+window. A check that finds nothing to report makes no call to the store."""
 
-CLEANING_WINDOWS = 60
-"""Windows after which old reports are looked for: some minutes."""
+CLEANUP_INTERVAL_WINDOWS = 60
+"""Number of windows between two removals of old reports: a few minutes."""
 
 _log = structlog.get_logger("usage")
 
 
-class _Ended(msgspec.Struct, frozen=True):
-    """A report to which the platform gave its answer."""
+class _AnsweredReport(msgspec.Struct, frozen=True):
+    """A report that the platform has accepted or rejected."""
 
-    report: KeptReport
+    report: StoredReport
     is_rejected: bool
 
 
 class UsageReporter:
-    """Reports one window after the other, the oldest first, each once.
+    """Reports each window once, oldest first.
 
     Parameters
     ----------
     fence : callable
-        Fencing token of the duty; another one makes the store's rows read anew, as
-        another host may have reported meanwhile.
+        Returns the fencing token of the duty. When the token changes, the reports are
+        read from the store again, because another host may have sent some meanwhile.
     is_everyone_heard : callable
-        Whether each host was heard of in the last so many seconds; the counts of one
-        that was not may still come.
+        Returns whether every host has sent a heartbeat within the given number of
+        seconds. The counts of a host that has not may still arrive.
     """
 
     def __init__(
@@ -56,112 +56,117 @@
         self._time = time
         self._fence = fence
         self._is_everyone_heard = is_everyone_heard
-        self._read_under: RowVersion | None = None
-        self._unsent: list[KeptReport] = []
-        self._unnoted: list[_Ended] = []
-        self._next = UsageWindow(0)
-        self._first_full = UsageWindow(0)
-        self._cleaned_at = UsageWindow(0)
+        self._loaded_fence: RowVersion | None = None
+        self._unsent: list[StoredReport] = []
+        self._unrecorded: list[_AnsweredReport] = []
+        self._next_window = UsageWindow(0)
+        self._skip_empty_before = UsageWindow(0)
+        self._last_cleanup_window = UsageWindow(0)
 
     async def look(self) -> None:
-        """Report what can be reported now.
+        """Report all windows that can be reported now.
 
         Raises
         ------
         StoreUnavailableError
-            If the store does not let it go on.
+            If the store cannot be read or written.
         """
         try:
-            await self._look()
+            await self._report_due_windows()
         except NotSettledError:
-            _log.warning("usage: store did not settle", window=self._next)
-            self._read_under = None
-
-    async def _look(self) -> None:
-        if self._read_under != self._fence():
-            await self._read()
-        await self._note_ended()
+            _log.warning(
+                "usage: outcome of a store write unknown", window=self._next_window
+            )
+            self._loaded_fence = None
+
+    async def _report_due_windows(self) -> None:
+        if self._loaded_fence != self._fence():
+            await self._load()
+        await self._record_answers()
         while self._duty.is_held:
             if self._unsent:
                 if not await self._send(self._unsent[0]):
                     return
                 self._unsent.pop(0)
-                await self._note_ended()
+                await self._record_answers()
             elif self._should_report_next():
                 await self._settle_next()
             else:
                 return
 
-    async def _read(self) -> None:
-        """Learn what was reported, and where to go on."""
+    async def _load(self) -> None:
+        """Read the stored reports and determine the next window to report."""
         fence = self._fence()
         reports = await self._rows.reports()
         self._unsent = [each for each in reports if not each.row.is_done]
-        self._unnoted.clear()
+        self._unrecorded.clear()
         if reports:
-            self._next = UsageWindow(reports[-1].window + 1)
+            self._next_window = UsageWindow(reports[-1].window + 1)
         else:
-            await self._begin()
-        self._read_under = fence
+            await self._start_as_first_holder()
+        self._loaded_fence = fence
         _log.info(
             "usage: duty taken",
             fence=fence,
-            next_window=self._next,
+            next_window=self._next_window,
             unsent=[each.window for each in self._unsent],
         )
 
-    async def _begin(self) -> None:
-        """Begin as the first holder of all.
+    async def _start_as_first_holder(self) -> None:
+        """Choose the first window to report when the store holds no reports.
 
-        Other hosts may have counted before and not kept it yet, so windows whose
-        reports are still in time are looked at too.
+        Other hosts may have counted requests that they have not written yet, so all
+        windows whose reports are not yet overdue are included.
         """
         now = self._time.now()
-        counted = await self._rows.counted()
-        self._next = min([*counted, self._terms.oldest_in_time(now)])
-        self._first_full = self._terms.window_at(now)
+        counted_windows = await self._rows.counted_windows()
+        self._next_window = min([*counted_windows, self._terms.oldest_reportable(now)])
+        self._skip_empty_before = self._terms.window_at(now)
 
     def _should_report_next(self) -> bool:
         return self._terms.should_report(
-            self._next,
+            self._next_window,
             self._time.now(),
             is_everyone_heard=self._is_next_complete(),
         )
 
     def _is_next_complete(self) -> bool:
-        """Whether the counts of no host can be missing, as each was heard since."""
-        ended_for_s = self._time.now() - self._terms.end_of(self._next)
+        """Whether every host has sent a heartbeat since the end of the next window.
+
+        If so, no counts of that window can be missing from the store.
+        """
+        ended_for_s = self._time.now() - self._terms.end_of(self._next_window)
         return self._is_everyone_heard(max(ended_for_s, 0.0))
 
     async def _settle_next(self) -> None:
-        counts = await self._rows.counts(self._next)
-        if not counts and self._next < self._first_full:
-            # Nothing has run yet: the service may not even have been there.
-            self._next = UsageWindow(self._next + 1)
+        counts = await self._rows.counts(self._next_window)
+        if not counts and self._next_window < self._skip_empty_before:
+            # No request has run yet. The service may not have been deployed then.
+            self._next_window = UsageWindow(self._next_window + 1)
             return
-        self._first_full = UsageWindow(0)
+        self._skip_empty_before = UsageWindow(0)
         is_complete = self._is_next_complete()
-        report = await self._rows.settle(self._next, counts)
-        late_s = self._time.now() - self._terms.end_of(self._next)
-        level = _log.info if is_complete else _log.warning
-        level(
+        report = await self._rows.settle(self._next_window, counts)
+        after_end_s = self._time.now() - self._terms.end_of(self._next_window)
+        write_log = _log.info if is_complete else _log.warning
+        write_log(
             "usage: window settled"
             if is_complete
             else "usage: window settled without the counts of a silent host",
-            window=self._next,
-            after_s=round(late_s, 2),
+            window=self._next_window,
+            after_s=round(after_end_s, 2),
             counts=report.row.counts,
         )
         if not report.row.is_done:
             self._unsent.append(report)
-        self._next = UsageWindow(self._next + 1)
-        if self._next - self._cleaned_at >= CLEANING_WINDOWS:
-            self._cleaned_at = self._next
-            oldest = UsageWindow(self._next - KEPT_REPORTS)
-            await self._rows.drop_before(oldest)
-
-    async def _send(self, report: KeptReport) -> bool:
-        """Send a settled report; return whether that is through."""
+        self._next_window = UsageWindow(self._next_window + 1)
+        if self._next_window - self._last_cleanup_window >= CLEANUP_INTERVAL_WINDOWS:
+            self._last_cleanup_window = self._next_window
+            oldest = UsageWindow(self._next_window - RETAINED_REPORT_COUNT)
+            await self._rows.remove_before(oldest)
+
+    async def _send(self, report: StoredReport) -> bool:
+        """Send a stored report; return whether the platform accepted or rejected it."""
         call = UsageReport(report.window, report.row.counts)
         outcome = await self._duty.call(call)
         if outcome not in (DutyOutcome.DONE, DutyOutcome.REJECTED):
@@ -169,22 +174,25 @@
         is_rejected = outcome is DutyOutcome.REJECTED
         if is_rejected:
             _log.error("usage: report rejected for good", window=report.window)
-        self._unnoted.append(_Ended(report, is_rejected))
+        self._unrecorded.append(_AnsweredReport(report, is_rejected))
         return True
 
-    async def _note_ended(self) -> None:
-        """Note in the store which reports are through, those that it took no note of.
+    async def _record_answers(self) -> None:
+        """Record in the store which reports the platform has accepted or rejected.
 
-        Until then whoever holds the duty next sends the very same again, which is
-        harmless.
+        Until a report is recorded, the next holder of the duty sends it again with an
+        identical body, which is harmless.
         """
-        while self._unnoted:
-            ended = self._unnoted[0]
+        while self._unrecorded:
+            answered = self._unrecorded[0]
             try:
-                await self._rows.note_done(ended.report, is_rejected=ended.is_rejected)
+                await self._rows.record_answer(
+                    answered.report, is_rejected=answered.is_rejected
+                )
             except (StoreUnavailableError, NotSettledError):
                 _log.warning(
-                    "usage: report made and not noted", window=ended.report.window
+                    "usage: answer to a report not recorded in the store",
+                    window=answered.report.window,
                 )
                 return
-            self._unnoted.pop(0)
+            self._unrecorded.pop(0)
--- a/src/bankrudder/usage/_keeping.py
+++ b/src/bankrudder/usage/_storage.py
@@ -1,8 +1,10 @@
-"""Counts and reports in the store.
+"""Storage of usage counts and usage reports.
 
-- ``usage``: in the part of each window one row for each run of a host, with its counts.
-- ``usage_reports``: one row for each window, with the body of its report. The body is
-  settled there before it is sent first, so whoever sends it again sends the very same.
+- ``usage``: one part per window, with one row for each run of a host that holds the
+  run's counts.
+- ``usage_reports``: one row per window with the body of its report. The body is stored
+  before the report is first sent, so that every later attempt, from any host, sends an
+  identical body.
 """
 
 import asyncio
@@ -39,31 +41,33 @@
 USAGE_TABLE = "usage"
 REPORTS_TABLE = "usage_reports"
 
-KEEP_PAUSE_S = 0.5
-"""Least pause between two writes of a host's counts: what its sudden loss may lose."""
+MIN_WRITE_PAUSE_S = 0.5
+"""Minimum pause between two writes of a host's counts. A host that crashes loses the
+counts of one pause."""
 
-KEPT_PER_S = 75.0
-"""Writes of counts by all hosts together, a second: half of what one part of the store
-takes, as all hosts write to the part of the window that has just ended."""
+FLEET_WRITES_PER_S = 75.0
+"""Writes of counts per second by all hosts together. All hosts write to the part of the
+window that has just ended, so the limit is half of the rate that one part of the store
+accepts."""
 
-GIVE_UP_S = 2.5
-"""Time for which a write of unknown outcome is tried again."""
+COMMIT_TIMEOUT_S = 2.5
+"""Time for which a write with an unknown outcome is retried."""
 
-KEPT_REPORTS = 720
-"""Reports that stay readable, an hour at the usual length of a window."""
+RETAINED_REPORT_COUNT = 720
+"""Number of reports kept in the store: one hour of windows of the usual length."""
 
 _log = structlog.get_logger("usage")
 
 
 class ReportRow(msgspec.Struct, frozen=True):
-    """Value of a report's row; its body never changes.
+    """Value of a report's row. The counts, which form the report's body, never change.
 
     Attributes
     ----------
     is_done : bool
-        Whether the platform has given its answer.
+        Whether the platform has accepted or rejected the report.
     is_rejected : bool
-        Whether that was that it takes the report for wrong.
+        Whether the platform has rejected the report as invalid.
     """
 
     counts: dict[WorkspaceName, int]
@@ -71,8 +75,8 @@
     is_rejected: bool = False
 
 
-class KeptReport(msgspec.Struct, frozen=True):
-    """A report as it is in the store."""
+class StoredReport(msgspec.Struct, frozen=True):
+    """A report as read from the store."""
 
     window: UsageWindow
     row: ReportRow
@@ -80,10 +84,10 @@
 
 
 class UsageRows:
-    """Reads and writes the rows; decides nothing.
+    """Reads and writes the rows of counts and reports.
 
-    Each call raises `StoreUnavailableError` or `NotSettledError` if it is not known to
-    have been done.
+    Each call raises `StoreUnavailableError` or `NotSettledError` unless it is known to
+    have succeeded.
     """
 
     def __init__(self, store: Store, clock: Clock):
@@ -97,82 +101,99 @@
         counts: Mapping[WorkspaceName, int],
         before: RowVersion,
     ) -> RowVersion:
-        """Replace the counts of one run of a host; return the row's version.
+        """Replace the counts of one run of a host and return the row's version.
 
-        The version that is expected keeps a write that the store carries out late from
-        undoing a newer one.
+        The write is conditional on the row's version, so that a write that the store
+        applies late cannot overwrite a newer one.
+
+        Parameters
+        ----------
+        before : RowVersion
+            Version that the row is expected to have.
         """
         key = RowKey(USAGE_TABLE, str(window), writer)
         value = msgspec.json.encode(counts)
         version = before
         while True:
-            outcome = await self._settled(key, version, value)
+            outcome = await self._commit_row(key, version, value)
             match outcome:
                 case Committed(version=written):
                     return written
                 case Conflict():
-                    # Only this run writes the row: an earlier write came late.
+                    # Only this run writes the row, so the conflicting version comes
+                    # from an earlier write of this run that was applied late.
                     row = outcome.row(key)
                     version = row.version if row is not None else ABSENT
 
     async def counts(self, window: UsageWindow) -> dict[WorkspaceName, int]:
-        """Return the counts of all hosts."""
+        """Return the counts of a window, summed over all hosts."""
         total: Counter[WorkspaceName] = Counter()
         for row in await read_all(self._store, USAGE_TABLE, str(window)):
             total.update(msgspec.json.decode(row.value, type=dict[WorkspaceName, int]))
         return dict(total)
 
-    async def counted(self) -> list[UsageWindow]:
-        """Return the windows of which there are counts, the oldest first."""
+    async def counted_windows(self) -> list[UsageWindow]:
+        """Return the windows that have stored counts, oldest first."""
         parts = await self._store.parts(USAGE_TABLE)
         return sorted(UsageWindow(int(each)) for each in parts)
 
-    async def lines(self, most: int) -> list[UsageLine]:
-        """Return the newest windows as operators see them."""
+    async def lines(self, max_count: int) -> list[UsageLine]:
+        """Return the newest windows in the form shown to operators."""
         reports = await self.reports()
         known = [
             UsageLine(each.window, _state(each.row), each.row.counts)
             for each in reports
         ]
-        open_windows = (await self.counted())[-most:]
+        open_windows = (await self.counted_windows())[-max_count:]
         counting = {window: await self.counts(window) for window in open_windows}
-        return usage_lines(known, counting, most)
+        return usage_lines(known, counting, max_count)
 
     async def settle(
         self, window: UsageWindow, counts: dict[WorkspaceName, int]
-    ) -> KeptReport:
-        """Make `counts` the report of a window, if none was settled before."""
+    ) -> StoredReport:
+        """Store `counts` as the report of a window unless one is already stored.
+
+        Returns
+        -------
+        StoredReport
+            The report that is stored now, either the new or the earlier one.
+        """
         key = _report_key(window)
         row = ReportRow(counts)
-        outcome = await self._settled(key, ABSENT, msgspec.json.encode(row))
+        outcome = await self._commit_row(key, ABSENT, msgspec.json.encode(row))
         match outcome:
             case Committed(version=version):
-                return KeptReport(window, row, version)
+                return StoredReport(window, row, version)
             case Conflict():
                 before = outcome.row(key)
                 if before is None:
                     raise NotSettledError
-                return _kept(before)
+                return _stored_report(before)
 
-    async def note_done(self, report: KeptReport, *, is_rejected: bool = False) -> None:
-        """Note that the platform took a report or rejected it; its counts go."""
+    async def record_answer(
+        self, report: StoredReport, *, is_rejected: bool = False
+    ) -> None:
+        """Record that the platform accepted or rejected a report; remove its counts."""
         done = msgspec.structs.replace(
             report.row, is_done=True, is_rejected=is_rejected
         )
         key = _report_key(report.window)
-        await self._settled(key, report.version, msgspec.json.encode(done))
+        await self._commit_row(key, report.version, msgspec.json.encode(done))
         await self._remove_counts(report.window)
 
-    async def reports(self) -> list[KeptReport]:
-        """Return all reports that are kept, the oldest first."""
-        return [_kept(row) for row in await read_all(self._store, REPORTS_TABLE, "")]
+    async def reports(self) -> list[StoredReport]:
+        """Return all stored reports, oldest first."""
+        return [
+            _stored_report(row)
+            for row in await read_all(self._store, REPORTS_TABLE, "")
+        ]
 
-    async def drop_before(self, window: UsageWindow) -> None:
-        """Remove reports that nobody asks for any more, and counts that came late."""
+    async def remove_before(self, window: UsageWindow) -> None:
+        """Remove the reports of older windows, and counts that arrived after them."""
         end = _report_key(window).key
         rows = await read_all(self._store, REPORTS_TABLE, "", end)
         await remove_all(self._store, [row.key for row in rows])
-        for old in await self.counted():
+        for old in await self.counted_windows():
             if old < window:
                 await self._remove_counts(old)
 
@@ -180,7 +201,7 @@
         rows = await read_all(self._store, USAGE_TABLE, str(window))
         await remove_all(self._store, [row.key for row in rows])
 
-    async def _settled(
+    async def _commit_row(
         self, key: RowKey, before: RowVersion, value: bytes
     ) -> Committed | Conflict:
         outcome = await commit_settled(
@@ -188,7 +209,7 @@
             Transaction((Expectation(key, before),), (Put(key, value),)),
             lambda conflict: conflict.holds(value),
             self._clock,
-            GIVE_UP_S,
+            COMMIT_TIMEOUT_S,
         )
         if isinstance(outcome, NotCommitted):
             raise StoreUnavailableError(outcome.trouble)
@@ -196,12 +217,12 @@
 
 
 class UsageKeeper:
-    """Writes the counts of one run of this host as they grow.
+    """Writes the counts of one run of this host to the store as they grow.
 
     Parameters
     ----------
     hosts : callable
-        Number of hosts that are known.
+        Returns the number of known hosts.
     """
 
     def __init__(
@@ -215,44 +236,45 @@
         self._book = book
         self._rows = rows
         self._writer = f"{host}.{lifetime}"
-        self._hosts = hosts
+        self._host_count = hosts
         self._versions: dict[UsageWindow, RowVersion] = {}
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write counts periodically until cancelled."""
         while True:
             await asyncio.sleep(self.pause_s())
             await self.keep()
 
     def pause_s(self) -> float:
-        """Return the pause between two writes of a host."""
-        return max(KEEP_PAUSE_S, self._hosts() / KEPT_PER_S)
+        """Return the pause between two writes of this host."""
+        return max(MIN_WRITE_PAUSE_S, self._host_count() / FLEET_WRITES_PER_S)
 
     async def keep(self) -> None:
-        """Write all counts that grew since the last time."""
-        changed = self._book.changed
-        for window in changed:
-            counts = self._book.take(window)
+        """Write all counts that grew since the last write."""
+        unsaved_windows = self._book.unsaved_windows
+        for window in unsaved_windows:
+            counts = self._book.take_counts(window)
             before = self._versions.get(window, ABSENT)
             try:
                 version = await self._rows.put_counts(
                     window, self._writer, counts, before
                 )
             except (StoreUnavailableError, NotSettledError):
-                self._book.put_back(window)
+                self._book.mark_unsaved(window)
                 _log.warning("usage: counts not kept yet", window=window, counts=counts)
                 return
             self._versions[window] = version
-        if changed:
-            self._forget(self._book.oldest_in_time())
+        if unsaved_windows:
+            self._discard_before(self._book.oldest_reportable())
 
-    def _forget(self, window: UsageWindow) -> None:
-        """Drop what is known of older windows: their reports have been made.
+    def _discard_before(self, window: UsageWindow) -> None:
+        """Discard the counts and row versions of windows that are past their due time.
 
-        A request counts in the window in which it began, also when it ends after later
-        windows were written, and its window is then written whole again.
+        A request counts in the window in which it started. If it ends after later
+        windows were written, the complete counts of its own window are written again,
+        so windows that can still be reported must be retained.
         """
-        self._book.forget_before(window)
+        self._book.discard_before(window)
         kept = {each: at for each, at in self._versions.items() if each >= window}
         self._versions = kept
 
@@ -267,6 +289,6 @@
     return WindowState.REPORTED if row.is_done else WindowState.SETTLED
 
 
-def _kept(row: Row) -> KeptReport:
+def _stored_report(row: Row) -> StoredReport:
     value = msgspec.json.decode(row.value, type=ReportRow)
-    return KeptReport(UsageWindow(int(row.key.key)), value, row.version)
+    return StoredReport(UsageWindow(int(row.key.key)), value, row.version)
--- a/src/bankrudder/usage/_table.py
+++ b/src/bankrudder/usage/_table.py
@@ -1,4 +1,4 @@
-"""Windows of usage as operators see them."""
+"""Usage windows in the form shown to operators."""
 
 from collections.abc import Mapping, Sequence
 from enum import Enum
@@ -10,20 +10,20 @@
 
 
 class WindowState(Enum):
-    """What became of a window."""
+    """Reporting state of a window."""
 
     COUNTING = "counting"
-    """Not settled yet: counts may still grow."""
+    """No report is stored yet; the counts may still grow."""
 
     SETTLED = "settled"
-    """Its report is fixed, and not known to have been made."""
+    """The report is stored, but not known to have reached the platform."""
 
     REPORTED = "reported"
     REJECTED = "rejected"
-    """The platform takes its report for wrong; it is not made again."""
+    """The platform rejected the report as invalid; it is not sent again."""
 
     MISSING = "missing"
-    """Others before and after it are reported, and nothing is kept of it."""
+    """Neither counts nor a report are stored, unlike for earlier and later windows."""
 
 
 class UsageLine(msgspec.Struct, frozen=True):
@@ -37,23 +37,23 @@
 def usage_lines(
     settled: Sequence[UsageLine],
     counting: Mapping[UsageWindow, Mapping[WorkspaceName, int]],
-    most: int,
+    max_count: int,
 ) -> list[UsageLine]:
-    """Return the newest windows, the oldest first.
+    """Return the newest windows, oldest first.
 
     Parameters
     ----------
     counting : mapping
-        Counts that are kept, by window; those of settled windows have no say.
-    most : int
-        Most windows that are returned.
+        Stored counts by window. Counts of settled windows are ignored.
+    max_count : int
+        Maximum number of windows to return.
     """
     lines = {each.window: each for each in settled}
     for window, counts in counting.items():
         lines.setdefault(window, UsageLine(window, WindowState.COUNTING, counts))
     if not lines:
         return []
-    first = max(min(lines), max(lines) - most + 1)
+    first = max(min(lines), max(lines) - max_count + 1)
     last = max(lines)
     return [
         lines.get(window, UsageLine(window, WindowState.MISSING, {}))
--- a/src/bankrudder/usage/_time.py
+++ b/src/bankrudder/usage/_time.py
@@ -1,9 +1,9 @@
-"""True time, from many clocks of which some are wrong.
+"""A time of day that all hosts agree on although some of their clocks are wrong.
 
-Windows of usage go by true time, and a host's time of day may be seconds off or jump.
-The store tells the time of its own steady clock, of no known origin. So each host tells
-how far its time of day is ahead of the store's clock; the median over all hosts is
-right as long as most clocks are.
+Usage windows must not depend on the wall clock of one host, which may be seconds off or
+jump. The store reports the time of its own monotonic clock, whose epoch is unknown.
+Each host therefore publishes how far its wall clock is ahead of the store's clock. The
+median of these offsets is correct as long as most wall clocks are.
 """
 
 import statistics
@@ -14,96 +14,113 @@
 
 from bankrudder.world import Clock
 
-KEPT_READINGS = 8
-"""Readings of which the most exact one counts: a heartbeat brings one, and the clocks
-that are compared drift by less in that time than the reading is inexact."""
+MAX_COMPARISONS = 8
+"""Number of clock comparisons kept, of which the one with the shortest round trip is
+used. Each heartbeat yields one. While they are kept, the clocks drift by less than the
+error of a comparison."""
 
 
-STEADY_S = 0.005
-"""Change of a host's difference below which it goes on telling the former one: half of
-what a reading is inexact by. Where one host reads the store for others, a heartbeat
-that says nothing new is passed on as a few bytes."""
+MIN_PUBLISHED_CHANGE_S = 0.005
+"""Change of a host's clock offset below which the host keeps publishing the former
+value: half of the error of a comparison. Where one host reads the store for others, an
+unchanged heartbeat is forwarded as a few bytes."""
 
 
-class _Reading(msgspec.Struct, frozen=True):
-    """A comparison of two clocks, inexact by half of the time that it took."""
+class _ClockComparison(msgspec.Struct, frozen=True):
+    """An offset between two clocks, accurate to half of the round trip."""
 
-    ahead_s: float
-    took_s: float
+    offset_s: float
+    round_trip_s: float
 
 
 class StoreClock:
-    """The store's steady clock, as far as its answers tell it."""
+    """Estimates the store's monotonic clock from the timestamps in its answers."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._readings: deque[_Reading] = deque(maxlen=KEPT_READINGS)
-        self._told_s: float | None = None
+        self._comparisons: deque[_ClockComparison] = deque(maxlen=MAX_COMPARISONS)
+        self._published_s: float | None = None
 
     def note(self, sent_at: float, store_time_s: float) -> None:
-        """Note the store's time in an answer that has just come.
+        """Record the store's time from an answer that has just arrived.
 
         Parameters
         ----------
         sent_at : float
-            Monotonic time at which its call was sent.
+            Monotonic time at which the call was sent.
         store_time_s : float
-            0 if the answer does not tell it.
+            Time of the store's clock in the answer, 0 if the answer has none.
         """
         if not store_time_s:
             return
         now = self._clock.monotonic()
         middle = (sent_at + now) / 2
-        self._readings.append(_Reading(store_time_s - middle, now - sent_at))
+        self._comparisons.append(_ClockComparison(store_time_s - middle, now - sent_at))
 
-    def at(self, moment: float) -> float | None:
+    def at(self, monotonic_s: float) -> float | None:
         """Return the store's time at a monotonic time of this host.
 
-        None before the first reading.
+        Returns
+        -------
+        float or None
+            None before the first clock comparison.
         """
-        if not self._readings:
+        if not self._comparisons:
             return None
-        best = min(self._readings, key=lambda reading: reading.took_s)
-        return moment + best.ahead_s
+        best = min(self._comparisons, key=lambda comparison: comparison.round_trip_s)
+        return monotonic_s + best.offset_s
 
     def wall_ahead_s(self) -> float | None:
-        """Return how far this host's time of day is ahead of the store's clock."""
+        """Return how far this host's wall clock is ahead of the store's clock.
+
+        Returns
+        -------
+        float or None
+            None before the first clock comparison.
+        """
         now = self.at(self._clock.monotonic())
         if now is None:
             return None
-        ahead_s = self._clock.wall() - now
-        if self._told_s is None or abs(ahead_s - self._told_s) > STEADY_S:
-            self._told_s = ahead_s
-        return self._told_s
+        offset_s = self._clock.wall() - now
+        if (
+            self._published_s is None
+            or abs(offset_s - self._published_s) > MIN_PUBLISHED_CHANGE_S
+        ):
+            self._published_s = offset_s
+        return self._published_s
 
 
 class TrueTime:
-    """The time of day that most hosts agree on.
+    """The time of day by the majority of the hosts' wall clocks.
 
     Parameters
     ----------
-    others : callable
-        How far the time of day of each host is ahead of the store's clock.
+    wall_ahead_values : callable
+        Returns, for each host, how far its wall clock is ahead of the store's clock.
     """
 
     def __init__(
-        self, store: StoreClock, others: Callable[[], Collection[float]], clock: Clock
+        self,
+        store: StoreClock,
+        wall_ahead_values: Callable[[], Collection[float]],
+        clock: Clock,
     ):
         self._store = store
-        self._others = others
+        self._wall_ahead_values = wall_ahead_values
         self._clock = clock
 
     def now(self) -> float:
         """Return the seconds since the Unix epoch."""
         return self.at(self._clock.monotonic())
 
-    def at(self, moment: float) -> float:
-        """Return the true time of a monotonic time of this host.
+    def at(self, monotonic_s: float) -> float:
+        """Return the agreed time of day at a monotonic time of this host.
 
-        Before anything is known of the store's clock this host's own is believed.
+        Until an offset to the store's clock is known, this host's own wall clock is
+        used.
         """
-        store_time = self._store.at(moment)
-        ahead = self._others()
+        store_time = self._store.at(monotonic_s)
+        ahead = self._wall_ahead_values()
         if store_time is None or not ahead:
-            return self._clock.wall() - (self._clock.monotonic() - moment)
+            return self._clock.wall() - (self._clock.monotonic() - monotonic_s)
         return store_time + statistics.median(ahead)
--- a/tests/usage/test_counting.py
+++ b/tests/usage/test_counting.py
@@ -1,4 +1,4 @@
-"""Counts of one host, by the window in which a request began to run."""
+"""Counts of one host, by the window in which a request started to run."""
 
 from datetime import timedelta
 
@@ -21,33 +21,33 @@
     return TERMS.window_at(hand_clock.wall())
 
 
-def test_a_request_counts_in_the_window_in_which_it_began(book, window, hand_clock):
+def test_a_request_counts_in_the_window_in_which_it_started(book, window, hand_clock):
     book.note_begun("north", hand_clock.monotonic())
     hand_clock.advance(7.0)
     book.note_begun("north", hand_clock.monotonic() - 6.9)
     book.note_begun("south", hand_clock.monotonic())
-    assert book.changed == [window, window + 1]
-    assert book.take(window) == {"north": 2}
-    assert book.take(window + 1) == {"south": 1}
+    assert book.unsaved_windows == [window, window + 1]
+    assert book.take_counts(window) == {"north": 2}
+    assert book.take_counts(window + 1) == {"south": 1}
 
 
 def test_requests_of_no_workspace_are_not_counted(book, hand_clock):
     book.note_begun(NO_WORKSPACE, hand_clock.monotonic())
-    assert book.changed == []
+    assert book.unsaved_windows == []
 
 
-def test_counts_that_were_not_kept_are_taken_again(book, window, hand_clock):
+def test_counts_marked_unsaved_are_taken_again(book, window, hand_clock):
     book.note_begun("north", hand_clock.monotonic())
-    book.take(window)
-    assert book.changed == []
-    book.put_back(window)
+    book.take_counts(window)
+    assert book.unsaved_windows == []
+    book.mark_unsaved(window)
     book.note_begun("north", hand_clock.monotonic())
-    assert book.take(window) == {"north": 2}
+    assert book.take_counts(window) == {"north": 2}
 
 
-def test_counts_that_were_not_kept_yet_are_not_forgotten(book, window, hand_clock):
+def test_unsaved_counts_are_not_discarded(book, window, hand_clock):
     book.note_begun("north", hand_clock.monotonic())
-    book.forget_before(window + 100)
-    assert book.take(window) == {"north": 1}
-    book.forget_before(window + 100)
-    assert book.take(window) == {}
+    book.discard_before(window + 100)
+    assert book.take_counts(window) == {"north": 1}
+    book.discard_before(window + 100)
+    assert book.take_counts(window) == {}
--- a/tests/usage/test_reporting.py
+++ b/tests/usage/test_reporting.py
@@ -1,5 +1,6 @@
-"""Each window is reported once with one body, whoever holds the duty and whatever
-becomes of the calls.
+"""Each window is reported with one body only.
+
+This holds across changes of the duty's holder and for every outcome of the calls.
 """
 
 import itertools
@@ -24,7 +25,7 @@
 
 
 class HeldLease:
-    """A lease that a test gives and takes."""
+    """A lease whose holder is chosen by the test."""
 
     def __init__(self, fence=0):
         self.fence = fence
@@ -36,9 +37,9 @@
 
 
 class Platform:
-    """Takes reports; ``outcomes`` holds what the next calls come to.
+    """Accepts reports; ``outcomes`` holds the outcomes of the next calls.
 
-    ``lost`` means that the call was carried out and nobody learned it.
+    ``lost`` means that the platform accepted the call but its answer was lost.
     """
 
     def __init__(self):
@@ -55,7 +56,7 @@
 
 
 class Reporting:
-    """Hosts that may hold the duty, on one store and one platform."""
+    """Hosts that can hold the duty and share one store and one platform."""
 
     def __init__(self, store):
         self.clock = HandClock()
@@ -80,7 +81,7 @@
         )
 
     def give(self, name, fence):
-        """Let one host alone hold the duty."""
+        """Make one host the only holder of the duty."""
         for lease in self.leases.values():
             lease.fence = 0
         self.leases[name].fence = fence
@@ -101,7 +102,7 @@
     return reporting
 
 
-async def test_windows_are_reported_one_after_the_other(reporting):
+async def test_windows_are_reported_in_order(reporting):
     first = reporting.first
     await reporting.look("a")
     await reporting.count(first, north=3, south=1)
@@ -114,7 +115,7 @@
     }
 
 
-async def test_nothing_is_reported_before_the_counts_can_be_there(reporting):
+async def test_nothing_is_reported_before_all_counts_can_be_stored(reporting):
     await reporting.look("a")
     left = TERMS.end_of(reporting.first) - reporting.clock.wall()
     reporting.clock.advance(left + 3.9)
@@ -122,7 +123,7 @@
     assert reporting.platform.calls == []
 
 
-async def test_the_counts_of_a_silent_host_are_waited_for(reporting):
+async def test_a_report_waits_for_the_counts_of_a_silent_host(reporting):
     first = reporting.first
     await reporting.look("a")
     reporting.is_everyone_heard = False
@@ -145,16 +146,14 @@
 
 
 @pytest.mark.parametrize("outcomes", list(itertools.product(OUTCOMES, repeat=2)))
-async def test_whatever_becomes_of_a_call_no_window_gets_two_bodies(
-    reporting, outcomes
-):
+async def test_no_window_gets_two_bodies_for_any_call_outcomes(reporting, outcomes):
     first = reporting.first
     await reporting.look("a")
     await reporting.count(first, north=3)
     reporting.clock.advance(20.0)
     reporting.platform.outcomes = [outcomes[0]]
     await reporting.look("a")
-    # Counts that come late change nothing of what was settled.
+    # Counts that arrive late do not change a stored report.
     await reporting.count(first, "late.1", north=50)
     reporting.give("b", 9)
     reporting.platform.outcomes = [outcomes[1]]
@@ -170,7 +169,7 @@
     assert fences == sorted(fences)
 
 
-async def test_what_was_reported_is_not_sent_again_by_the_next_holder(reporting):
+async def test_the_next_holder_does_not_resend_accepted_reports(reporting):
     await reporting.look("a")
     reporting.clock.advance(20.0)
     await reporting.look("a")
@@ -180,7 +179,7 @@
     assert len(reporting.platform.calls) == before
 
 
-async def test_a_holder_that_was_away_goes_on_after_the_one_between(reporting):
+async def test_a_returning_holder_continues_after_the_reports_of_another(reporting):
     first = reporting.first
     await reporting.look("a")
     reporting.clock.advance(10.0)
@@ -196,7 +195,7 @@
     assert windows == list(range(first, first + len(windows)))
 
 
-async def test_a_first_holder_begins_with_what_was_counted_before(reporting):
+async def test_a_first_holder_reports_counts_stored_before_it_started(reporting):
     await reporting.count(reporting.first - 2, north=1)
     reporting.clock.advance(10.0)
     await reporting.look("a")
@@ -204,7 +203,7 @@
     assert min(reporting.platform.taken) == reporting.first - 2
 
 
-async def test_counts_that_a_first_holder_finds_late_are_reported(reporting):
+async def test_counts_that_arrive_after_a_first_holder_started_are_reported(reporting):
     first = reporting.first
     reporting.clock.advance(TERMS.end_of(first) - reporting.clock.wall() + 0.1)
     await reporting.look("a")
@@ -214,7 +213,7 @@
     assert reporting.platform.taken == {first: {"north": 3}, first + 1: {}}
 
 
-async def test_windows_before_anything_ran_are_not_reported(reporting):
+async def test_windows_before_the_first_request_are_not_reported(reporting):
     first = reporting.first
     await reporting.look("a")
     reporting.clock.advance(20.0)
@@ -222,7 +221,7 @@
     assert min(reporting.platform.taken) == first
 
 
-async def test_all_that_an_outage_held_up_goes_out_after_it(reporting):
+async def test_reports_delayed_by_a_platform_outage_are_sent_after_it(reporting):
     first = reporting.first
     await reporting.look("a")
     reporting.platform.outcomes = [DutyOutcome.UNKNOWN] * 3
@@ -234,7 +233,7 @@
     assert sorted(reporting.platform.taken)[:11] == list(range(first, first + 11))
 
 
-async def test_a_report_that_the_platform_rejects_does_not_stop_the_others(reporting):
+async def test_a_rejected_report_does_not_block_later_windows(reporting):
     first = reporting.first
     await reporting.look("a")
     reporting.platform.outcomes = [DutyOutcome.REJECTED]
@@ -247,7 +246,7 @@
     assert not kept[first + 1].is_rejected
 
 
-async def test_an_outage_of_the_store_holds_reports_up_and_loses_none(reporting, gate):
+async def test_a_store_outage_delays_reports_but_loses_none(reporting, gate):
     first = reporting.first
     await reporting.look("a")
     reporting.clock.advance(20.0)
@@ -266,7 +265,7 @@
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.DONE, DutyOutcome.REJECTED])
-async def test_a_report_whose_end_the_store_did_not_note_is_noted_later(
+async def test_an_answer_that_could_not_be_recorded_is_recorded_later(
     reporting, monkeypatch, outcome
 ):
     first = reporting.first
@@ -274,7 +273,7 @@
     reporting.clock.advance(TERMS.end_of(first) - reporting.clock.wall() + 4.1)
     reporting.platform.outcomes = [outcome]
     with monkeypatch.context() as patched:
-        patched.setattr(reporting.rows, "note_done", store_is_busy)
+        patched.setattr(reporting.rows, "record_answer", store_is_busy)
         await reporting.look("a")
     assert not (await reporting.rows.reports())[0].row.is_done
     await reporting.look("a")
@@ -284,7 +283,7 @@
     assert len(reporting.platform.calls) == 1
 
 
-async def test_a_report_in_the_last_moment_of_the_lease_is_not_sent(reporting):
+async def test_no_report_is_sent_just_before_the_lease_expires(reporting):
     await reporting.look("a")
     reporting.clock.advance(20.0)
     reporting.leases["a"].left_s = 0.05
--- a/tests/usage/test_keeping.py
+++ b/tests/usage/test_storage.py
@@ -1,4 +1,4 @@
-"""Rows of usage: each run of a host writes its own, a report's body never changes."""
+"""Stored counts and reports: one row per run of a host; report bodies never change."""
 
 from datetime import timedelta
 
@@ -32,7 +32,7 @@
     await usage.put_counts(WINDOW + 1, "a.2", {"north": 9}, ABSENT)
     assert await usage.counts(WINDOW) == {"north": 5, "south": 1}
     assert await usage.counts(WINDOW - 1) == {}
-    assert await usage.counted() == [WINDOW, WINDOW + 1]
+    assert await usage.counted_windows() == [WINDOW, WINDOW + 1]
 
 
 async def test_counts_replace_those_of_the_same_run(usage):
@@ -41,28 +41,28 @@
     assert await usage.counts(WINDOW) == {"north": 5}
 
 
-@pytest.mark.parametrize("lost", ["lose_replies", "delay_commits"])
-async def test_a_lost_reply_counts_nothing_twice(usage, gate, lost):
+@pytest.mark.parametrize("fault", ["lose_replies", "delay_commits"])
+async def test_a_lost_reply_does_not_count_requests_twice(usage, gate, fault):
     version = await usage.put_counts(WINDOW, "a.1", {"north": 2}, ABSENT)
-    setattr(gate, lost, 1)
+    setattr(gate, fault, 1)
     version = await usage.put_counts(WINDOW, "a.1", {"north": 5}, version)
     await usage.put_counts(WINDOW, "a.1", {"north": 6}, version)
-    if lost == "delay_commits":
+    if fault == "delay_commits":
         gate.carry_out_delayed()
     assert await usage.counts(WINDOW) == {"north": 6}
 
 
-async def test_a_window_is_settled_once(usage):
+async def test_only_the_first_report_of_a_window_is_stored(usage):
     first = await usage.settle(WINDOW, {"north": 2})
     second = await usage.settle(WINDOW, {"north": 3})
     assert second == first
     assert first.row.counts == {"north": 2}
 
 
-async def test_a_report_that_was_made_is_noted_and_its_counts_go(usage):
+async def test_counts_are_removed_once_their_report_is_accepted(usage):
     await usage.put_counts(WINDOW, "a.1", {"north": 2}, ABSENT)
     report = await usage.settle(WINDOW, {"north": 2})
-    await usage.note_done(report)
+    await usage.record_answer(report)
     [kept] = await usage.reports()
     assert kept.row.is_done
     assert kept.row.counts == {"north": 2}
@@ -74,8 +74,8 @@
         await usage.settle(WINDOW + number, {})
     await usage.put_counts(WINDOW, "late.1", {"north": 1}, ABSENT)
     await usage.put_counts(WINDOW + 4, "a.1", {"north": 1}, ABSENT)
-    await usage.drop_before(WINDOW + 3)
-    assert await usage.counted() == [WINDOW + 4]
+    await usage.remove_before(WINDOW + 3)
+    assert await usage.counted_windows() == [WINDOW + 4]
     assert [each.window for each in await usage.reports()] == [WINDOW + 3, WINDOW + 4]
 
 
@@ -97,9 +97,10 @@
 async def test_a_request_that_ends_late_is_added_to_its_window(
     keeper, book, usage, clock
 ):
-    # Began in the window before those that are written while it runs.
+    # The slow request starts in the first window and ends after later windows were
+    # written.
     window = TERMS.window_at(clock.wall())
-    slow_began = clock.monotonic()
+    slow_began_at = clock.monotonic()
     for _ in range(3):
         book.note_begun("north", clock.monotonic())
     await keeper.keep()
@@ -109,15 +110,13 @@
     clock.advance(1.0)
     book.note_begun("south", clock.monotonic())
     await keeper.keep()
-    book.note_begun("north", slow_began)
+    book.note_begun("north", slow_began_at)
     await keeper.keep()
     assert await usage.counts(window) == {"north": 4}
     assert await usage.counts(window + 1) == {"north": 1, "south": 1}
 
 
-async def test_a_keeper_forgets_windows_whose_reports_have_been_made(
-    keeper, book, clock
-):
+async def test_counts_of_overdue_windows_are_discarded(keeper, book, clock):
     window = TERMS.window_at(clock.wall())
     for _ in range(10):
         book.note_begun("north", clock.monotonic())
@@ -125,11 +124,11 @@
         clock.advance(5.0)
     book.note_begun("north", clock.monotonic())
     await keeper.keep()
-    assert [book.take(window + k) for k in range(8)] == [{}] * 8
-    assert book.take(window + 9) == {"north": 1}
+    assert [book.take_counts(window + k) for k in range(8)] == [{}] * 8
+    assert book.take_counts(window + 9) == {"north": 1}
 
 
-async def test_without_the_store_nothing_is_taken_for_kept(usage, gate):
+async def test_writes_raise_while_the_store_is_unavailable(usage, gate):
     gate.mode = GateMode.BUSY
     with pytest.raises(StoreUnavailableError):
         await usage.put_counts(WINDOW, "a.1", {"north": 2}, ABSENT)
--- a/tests/usage/test_table.py
+++ b/tests/usage/test_table.py
@@ -1,9 +1,9 @@
-"""What operators see of windows."""
+"""Usage windows in the form shown to operators."""
 
 from bankrudder.usage import UsageLine, WindowState, usage_lines
 
 
-def test_windows_are_shown_by_what_became_of_them():
+def test_each_window_is_shown_with_its_state():
     settled = [
         UsageLine(10, WindowState.REPORTED, {"north": 3}),
         UsageLine(11, WindowState.REJECTED, {}),
@@ -19,7 +19,7 @@
     ]
 
 
-def test_the_newest_windows_are_shown():
+def test_only_the_newest_windows_are_shown():
     settled = [UsageLine(n, WindowState.REPORTED, {}) for n in range(100)]
     assert [line.window for line in usage_lines(settled, {}, 3)] == [97, 98, 99]
 
--- a/tests/usage/test_time.py
+++ b/tests/usage/test_time.py
@@ -1,4 +1,4 @@
-"""True time from clocks of which some are seconds off or jump."""
+"""The agreed time of day while some clocks are seconds off or jump."""
 
 import random
 
@@ -8,45 +8,46 @@
 from hand_clock import START_WALL_S, HandClock
 
 STORE_AHEAD_S = 40_000.0
-"""How far the store's clock, of no known origin, is ahead of the hosts' steady ones."""
+"""How far the store's clock, whose epoch is unknown, is ahead of the hosts' monotonic
+clocks."""
 
 
-def told(clock, store, took_s=0.004):
+def record_answer_after(clock, store, round_trip_s=0.004):
     sent_at = clock.monotonic()
-    clock.advance(took_s / 2)
+    clock.advance(round_trip_s / 2)
     store_time = clock.monotonic() + STORE_AHEAD_S
-    clock.advance(took_s / 2)
+    clock.advance(round_trip_s / 2)
     store.note(sent_at, store_time)
 
 
 @pytest.fixture
 def store(hand_clock):
     store = StoreClock(hand_clock)
-    told(hand_clock, store)
+    record_answer_after(hand_clock, store)
     return store
 
 
-def test_the_store_tells_its_time(hand_clock, store):
+def test_the_store_clock_is_derived_from_an_answer(hand_clock, store):
     assert store.at(hand_clock.monotonic()) == pytest.approx(
         hand_clock.monotonic() + STORE_AHEAD_S
     )
 
 
-def test_before_the_first_answer_its_time_is_not_known(hand_clock):
+def test_the_store_clock_is_unknown_before_the_first_answer(hand_clock):
     store = StoreClock(hand_clock)
     store.note(0.0, 0.0)
     assert store.at(0.0) is None
     assert store.wall_ahead_s() is None
 
 
-def test_the_quickest_answer_counts(hand_clock, store):
+def test_the_answer_with_the_shortest_round_trip_is_used(hand_clock, store):
     sent_at = hand_clock.monotonic()
     hand_clock.advance(0.8)
     store.note(sent_at, sent_at + STORE_AHEAD_S)
     assert store.at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
 
 
-def test_a_host_without_the_store_believes_its_own_clock(hand_clock):
+def test_a_host_without_a_store_answer_uses_its_own_clock(hand_clock):
     time = TrueTime(StoreClock(hand_clock), list, hand_clock)
     hand_clock.advance(3.0)
     assert time.now() == START_WALL_S + 3.0
@@ -61,7 +62,7 @@
     hosts = [HandClock(wall=START_WALL_S + rng.uniform(-0.01, 0.01)) for _ in range(19)]
     stores = [StoreClock(each) for each in hosts]
     for clock, store in zip(hosts, stores, strict=True):
-        told(clock, store, rng.uniform(0.002, 0.02))
+        record_answer_after(clock, store, rng.uniform(0.002, 0.02))
     for clock in rng.sample(hosts, 9):
         clock._wall += off_s
     ahead = [store.wall_ahead_s() for store in stores]
@@ -72,16 +73,16 @@
         assert time.now() == pytest.approx(expected, abs=0.03)
 
 
-def test_what_a_host_tells_of_its_clock_is_steady(hand_clock, store):
+def test_a_published_clock_offset_changes_only_on_real_change(hand_clock, store):
     first = store.wall_ahead_s()
     for step in range(20):
-        told(hand_clock, store, 0.002 + step * 0.0001)
+        record_answer_after(hand_clock, store, 0.002 + step * 0.0001)
         assert store.wall_ahead_s() == first
     hand_clock._wall += 0.02
     assert store.wall_ahead_s() == pytest.approx(first + 0.02, abs=0.005)
 
 
-def test_a_clock_that_jumps_moves_no_window(hand_clock, store):
+def test_one_clock_that_jumps_does_not_change_the_agreed_time(hand_clock, store):
     ahead = [store.wall_ahead_s()] * 3
     time = TrueTime(store, lambda: [*ahead[:2], store.wall_ahead_s()], hand_clock)
     before = time.now()
--- a/tests/usage/test_windows.py
+++ b/tests/usage/test_windows.py
@@ -1,4 +1,4 @@
-"""When a window ends, and when it is reported."""
+"""Bounds of usage windows, and when each is reported."""
 
 from datetime import timedelta
 
@@ -36,7 +36,7 @@
         (600.0, False, True),
     ],
 )
-def test_a_window_waits_for_silent_hosts_and_not_past_its_due_time(
+def test_a_window_waits_for_silent_hosts_but_not_past_its_due_time(
     after_s, is_everyone_heard, is_due
 ):
     window = TERMS.window_at(1_700_000_000.0)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("factor", [0.25, 1.0, 4.0])
-def test_the_times_follow_what_the_platform_asks(factor):
+def test_report_times_scale_with_the_platform_deadline(factor):
     terms = UsageTerms(timedelta(seconds=5 * factor), timedelta(seconds=10 * factor))
     end = terms.end_of(terms.window_at(1_700_000_000.0))
     window = terms.window_at(1_700_000_000.0)
@@ -57,8 +57,10 @@
 
 @pytest.mark.parametrize("factor", [0.25, 1.0, 4.0])
 @pytest.mark.parametrize("moment", [1_700_000_000.0, 1_700_000_004.9])
-def test_the_oldest_window_in_time_is_not_due_yet_and_the_one_before_is(moment, factor):
+def test_the_oldest_reportable_window_is_not_overdue_but_its_predecessor_is(
+    moment, factor
+):
     terms = UsageTerms(timedelta(seconds=5), timedelta(seconds=10 * factor))
-    oldest = terms.oldest_in_time(moment)
+    oldest = terms.oldest_reportable(moment)
     assert terms.end_of(oldest) + 10 * factor > moment
     assert terms.end_of(oldest - 1) + 10 * factor <= moment
