--- a/src/bankrudder/duties/__init__.py
+++ b/src/bankrudder/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one host at a time may make."""
+"""Calls to the platform that only one host at a time may make."""
 
 from bankrudder.duties._duty import Duty
 from bankrudder.duties._port import DutyApi, DutyCall, DutyOutcome, DutyTicket
--- a/src/bankrudder/duties/_duty.py
+++ b/src/bankrudder/duties/_duty.py
@@ -1,9 +1,9 @@
-"""A duty towards the platform, carried out by the host that holds its lease.
+"""Calls to the platform by the host that holds the lease on a duty.
 
 The platform does not check fencing tokens everywhere, so a call must not arrive after
-another host took over. The lease is looked at right before each call, and no call
-outlasts the time in which the lease is surely held: what is left of it between the
-holder's last moment and the next holder's first is for what is still on its way.
+another host has taken over. The lease is checked right before each call, and no call
+lasts longer than the lease is certain to be held. The lease ends with a safety margin
+in which no host acts, so that messages in transit arrive before another host acts.
 """
 
 import asyncio
@@ -15,29 +15,29 @@
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId
 
-MAX_CALL_S = 0.8
-"""Longest time for one call: half more than one takes when the platform is fifty times
-slower than usual."""
+MAX_CALL_TIMEOUT_S = 0.8
+"""Maximum timeout of a call: one and a half times the duration of a call when the
+platform is fifty times slower than usual."""
 
-MIN_CALL_S = 0.1
-"""Time that the lease must still be held for a call to begin: some ten usual calls."""
+MIN_LEASE_LEFT_S = 0.1
+"""Minimum remaining time of the lease for a call to start: about ten usual calls."""
 
-RATE_SHARE = 0.5
-"""Share of the calls that the platform takes which one duty makes at most: the rest is
-for the holder before, and for other duties."""
+CALL_RATE_SHARE = 0.5
+"""Maximum share of the platform's call rate that one duty uses. The rest is left for
+the previous holder and for other duties."""
 
 _log = structlog.get_logger("duties")
 
 
 class Duty:
-    """Calls of one duty, one after the other.
+    """Makes the calls of one duty, one at a time and at a limited rate.
 
     Parameters
     ----------
     name : str
-        What the duty is, for log lines.
+        Name of the duty in log lines.
     calls_per_s : float
-        Calls that the platform takes from all hosts and duties together, a second.
+        Calls per second that the platform accepts from all hosts and duties together.
     """
 
     def __init__(
@@ -53,24 +53,24 @@
         self._api = api
         self._lease = lease
         self._host = host
-        self._pause_s = 1 / (RATE_SHARE * calls_per_s)
+        self._pause_s = 1 / (CALL_RATE_SHARE * calls_per_s)
         self._clock = clock
         self._next_at = 0.0
-        self._turn = asyncio.Lock()
+        self._call_lock = asyncio.Lock()
 
     @property
     def is_held(self) -> bool:
-        """Whether this host may carry the duty out now."""
+        """Whether this host may carry out the duty now."""
         return self._lease.is_valid
 
     async def call(self, call: DutyCall) -> DutyOutcome:
-        """Make a call if the duty is this host's."""
-        async with self._turn:
+        """Make a call if this host holds the duty."""
+        async with self._call_lock:
             await asyncio.sleep(max(self._next_at - self._clock.monotonic(), 0.0))
             self._next_at = self._clock.monotonic() + self._pause_s
-            outcome = await self._made(call)
-        level = _log.info if outcome is DutyOutcome.DONE else _log.warning
-        level(
+            outcome = await self._call_while_held(call)
+        write_log = _log.info if outcome is DutyOutcome.DONE else _log.warning
+        write_log(
             "duties: call made",
             duty=self._name,
             call=call,
@@ -79,16 +79,16 @@
         )
         return outcome
 
-    async def _made(self, call: DutyCall) -> DutyOutcome:
+    async def _call_while_held(self, call: DutyCall) -> DutyOutcome:
         left_s = self._lease.left_s
-        if left_s < MIN_CALL_S:
+        if left_s < MIN_LEASE_LEFT_S:
             return DutyOutcome.NOT_ON_DUTY
-        timeout_s = min(MAX_CALL_S, left_s)
+        timeout_s = min(MAX_CALL_TIMEOUT_S, left_s)
         fence = self._lease.fence
         ticket = DutyTicket(
-            self._host, fence, timeout_s, lambda: self._holds_under(fence)
+            self._host, fence, timeout_s, lambda: self._is_held_with(fence)
         )
         return await self._api.call(call, ticket)
 
-    def _holds_under(self, fence: RowVersion) -> bool:
+    def _is_held_with(self, fence: RowVersion) -> bool:
         return self._lease.is_valid and self._lease.fence == fence
--- a/src/bankrudder/duties/_port.py
+++ b/src/bankrudder/duties/_port.py
@@ -1,4 +1,4 @@
-"""The platform's interface for duties, as the project uses it."""
+"""Interface through which the holder of a duty calls the platform."""
 
 from collections.abc import Callable
 from enum import Enum
@@ -11,21 +11,21 @@
 from bankrudder.world import HostId
 
 DutyCall = UsageReport | EndpointOrder
-"""All that is told to the platform under a duty."""
+"""A message to the platform that only the holder of a duty may send."""
 
 
 class DutyTicket(msgspec.Struct, frozen=True):
-    """By what right a call is made.
+    """Holder, fencing token and time limit of a call.
 
     Attributes
     ----------
     fence : RowVersion
-        Fencing token: grows with each change of the holder.
+        Fencing token, which grows with each change of the holder.
     timeout_s : float
-        Time after which the call must have ended, whatever became of it.
+        Time after which the call must have ended, with or without an answer.
     is_held : callable
-        Whether the duty is still held: asked right before the call's body is sent, as
-        a host may be frozen or suspended while it connects.
+        Returns whether the duty is still held. Checked right before the call's body is
+        sent, because the host may be frozen or suspended while it connects.
     """
 
     holder: HostId
@@ -35,24 +35,24 @@
 
 
 class DutyOutcome(Enum):
-    """What became of a call."""
+    """Outcome of a call."""
 
     DONE = "done"
     REFUSED = "refused"
-    """It was surely not carried out; the same call may be made again."""
+    """The call was certainly not carried out; the same call may be repeated."""
 
     REJECTED = "rejected"
-    """The platform takes it for wrong; making it again will not help."""
+    """The platform rejected the call as invalid; repeating it does not help."""
 
     UNKNOWN = "unknown"
-    """It may have been carried out, or may be later."""
+    """The call may have been carried out, or may still be."""
 
     NOT_ON_DUTY = "not_on_duty"
-    """This host does not hold the duty just now: nothing was sent."""
+    """This host does not hold the duty; nothing was sent."""
 
 
 class DutyApi(Protocol):
-    """How the platform is told. Nothing is retried here."""
+    """Client for the platform's duty calls. It does not retry."""
 
     async def call(self, call: DutyCall, ticket: DutyTicket) -> DutyOutcome:
         """Make a call."""
--- a/src/bankrudder/duties/_values.py
+++ b/src/bankrudder/duties/_values.py
@@ -1,4 +1,4 @@
-"""What the holders of duties tell the platform."""
+"""Messages that the holders of duties send to the platform."""
 
 from typing import NewType
 
@@ -8,18 +8,18 @@
 from bankrudder.world import DataCentreName, WorkspaceName
 
 UsageWindow = NewType("UsageWindow", int)
-"""Number of a window of true time, counted from the Unix epoch."""
+"""Number of a usage window, counted from the Unix epoch in the hosts' agreed time."""
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """How many requests of each workspace began to run in a window."""
+    """Number of requests of each workspace that started to run in a window."""
 
     window: UsageWindow
     counts: dict[WorkspaceName, int]
 
 
 class EndpointOrder(msgspec.Struct, frozen=True):
-    """How many endpoints a service shall have in a data centre."""
+    """Number of endpoints that a service should have in a data centre."""
 
     service: ServiceName
     data_centre: DataCentreName
