--- a/src/bankrudder/leases/__init__.py
+++ b/src/bankrudder/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases on duties that one host at most carries out."""
+"""Leases on duties that at most one host carries out at a time."""
 
 from bankrudder.leases._duty import repeat_on_duty
 from bankrudder.leases._lease import CANDIDATES, LEASES_TABLE, Lease, LeaseRow
--- a/src/bankrudder/leases/_duty.py
+++ b/src/bankrudder/leases/_duty.py
@@ -1,4 +1,4 @@
-"""Work that one host does from time to time."""
+"""Periodic work of the host that holds a duty."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,12 +16,12 @@
     pause_s: float,
     work: Callable[[], Awaitable[None]],
 ) -> None:
-    """Do `work` after each pause while this host is on duty, until cancelled.
+    """Run `work` after each pause while this host holds the duty, until cancelled.
 
     Parameters
     ----------
     duty : str
-        What it is, for log lines.
+        Name of the duty in log lines.
     """
     while True:
         await asyncio.sleep(pause_s)
--- a/src/bankrudder/leases/_lease.py
+++ b/src/bankrudder/leases/_lease.py
@@ -1,13 +1,14 @@
-"""A lease on a duty that one host at most may carry out at a time.
+"""A lease on a duty that at most one host may carry out at a time.
 
-The holder renews a row of the store under a condition and counts its time from
-before it sent the renewal. Another host takes over only once it saw the row
-unchanged for the whole lease on its own steady clock. The version of the row at the
-taking is the fencing token.
+The holder renews a row of the store with conditional writes, and counts the lease from
+the moment before it sends a renewal. Another host acquires the lease only after the row
+has not changed for the whole lease duration on that host's own monotonic clock. The
+row's version at the acquisition is the fencing token.
 
-A host that finds its own row takes the lease again at once: it is the same machine,
-whose earlier run has ended or whose lease lapsed while the store was away. So duties go
-on within a second of an outage or of a restart, rather than a lease later.
+A host that finds its own row acquires the lease again at once: the row was written by
+an earlier run on the same machine, or the lease lapsed while the store was unavailable.
+Duties thus continue within a second of an outage or a restart instead of a lease
+duration later.
 """
 
 import asyncio
@@ -37,19 +38,20 @@
 
 LEASES_TABLE = "leases"
 
-RENEWALS = 4
-"""Renewals within one lease: three may fail before it lapses."""
+RENEWALS_PER_LEASE = 4
+"""Renewals per lease duration. Three of them may fail before the lease lapses."""
 
-MARGIN = 0.2
-"""Share of the lease, at its end, in which the holder no longer acts: what it sent
-before has then arrived when another host begins."""
+SAFETY_MARGIN_SHARE = 0.2
+"""Share of the lease duration, at its end, in which the holder no longer acts. Messages
+that the holder sent earlier arrive in that time, before another host may act."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause after a call without an answer. The call itself waits for the store's return,
-so a lease that lapsed in an outage is taken again a tenth of a second after it."""
+"""Pause after a store call without an answer. The call itself waits until the store is
+available again, so a lease that lapsed in an outage is acquired again a tenth of a
+second after the outage."""
 
 CANDIDATES = 3
-"""Hosts that watch a lease; more would only cost reads."""
+"""Number of hosts that watch a lease. More would only add reads of the store."""
 
 _log = structlog.get_logger("leases")
 
@@ -59,11 +61,11 @@
 
     Attributes
     ----------
-    address : Address
-        Where the holder takes requests: a machine that replaces another may have its
-        name, and has another address.
     fence : int
-        Version of the row at the taking; 0 in the taking transaction itself.
+        Version of the row at the acquisition; 0 in the acquiring transaction itself.
+    address : Address
+        Where the holder accepts requests. A machine that replaces another one may have
+        the same host name but has another address.
     """
 
     host: HostId
@@ -74,19 +76,20 @@
 
 
 class Lease:
-    """One lease, as this host sees it.
+    """Acquires, renews and releases one lease on behalf of this host.
 
     Parameters
     ----------
     is_candidate : callable
-        Whether this host is one of the few that watch the lease, to take it over.
+        Returns whether this host is one of the few that watch the lease in order to
+        acquire it.
     duration_s : float
-        Length of the lease in seconds; the platform's figure.
+        Duration of the lease in seconds, given by the platform.
     on_change : callable, optional
-        Told whether this host holds the lease whenever that changes.
+        Called with whether this host holds the lease, each time that changes.
     address : Address, optional
-        Tells this machine from another one of its name; without it the row of an
-        earlier run is as good as another host's.
+        Distinguishes this machine from another one with the same host name. Without
+        it, a row of an earlier run is treated like that of another host.
     """
 
     def __init__(
@@ -102,7 +105,7 @@
         address: Address = NO_ADDRESS,
     ):
         self._address = address
-        self._may_be_mine = True
+        self._may_own_row = True
         self._store = store
         self._name = name
         self._key = RowKey(LEASES_TABLE, name, "lease")
@@ -114,9 +117,9 @@
         self._on_change = on_change
         self._fence = ABSENT
         self._version = ABSENT
-        self._count = 0
+        self._renewal_count = 0
         self._valid_until = 0.0
-        self._seen: tuple[RowVersion, float] | None = None
+        self._last_change: tuple[RowVersion, float] | None = None
 
     @property
     def fence(self) -> RowVersion:
@@ -125,102 +128,102 @@
 
     @property
     def is_valid(self) -> bool:
-        """Whether this host may act now; check right before each act."""
+        """Whether this host may act now; to be checked right before each action."""
         return bool(self._fence) and self._clock.monotonic() < self._valid_until
 
     @property
     def left_s(self) -> float:
-        """Seconds for which this host may act, 0 if it may not."""
+        """Seconds for which this host may still act, 0 if it may not act."""
         if not self._fence:
             return 0.0
         return max(self._valid_until - self._clock.monotonic(), 0.0)
 
     def set_duration(self, seconds: float) -> None:
-        """Change the length of the lease from the next renewal on."""
+        """Change the duration of the lease from the next renewal on."""
         self._duration_s = seconds
 
     async def run(self) -> None:
-        """Renew the lease, or watch it and take it over, until cancelled."""
+        """Renew the lease, or watch it in order to acquire it, until cancelled."""
         while True:
-            pause_s = self._duration_s / RENEWALS
+            pause_s = self._duration_s / RENEWALS_PER_LEASE
             try:
                 if self._fence:
                     await self._renew()
-                elif self._may_be_mine or self._is_candidate():
+                elif self._may_own_row or self._is_candidate():
                     await self._watch()
             except (StoreUnavailableError, NotSettledError):
                 _log.warning("leases: store not reached", lease=self._name)
                 pause_s = RETRY_PAUSE_S
             if self._fence and self._clock.monotonic() >= self._valid_until:
-                self._drop("lapsed")
+                self._lose("lapsed")
             await asyncio.sleep(pause_s)
 
     async def release(self) -> None:
-        """Give the lease up before a planned stop."""
+        """Release the lease before a planned stop."""
         if not self._fence:
             return
-        row = LeaseRow(HostId(""), Lifetime(""), self._count + 1)
+        row = LeaseRow(HostId(""), Lifetime(""), self._renewal_count + 1)
         transaction = Transaction(
             (Expectation(self._key, self._version),),
             (Put(self._key, msgspec.json.encode(row)),),
         )
-        self._drop("released")
+        self._lose("released")
         await self._store.commit(transaction)
 
     async def _watch(self) -> None:
         page = await self._store.read(LEASES_TABLE, self._name)
         row: Row | None = page.rows[0] if page.rows else None
         now = self._clock.monotonic()
-        if row is not None and self._is_mine(row):
-            await self._take(row)
+        if row is not None and self._is_own_row(row):
+            await self._acquire(row)
             return
-        self._may_be_mine = False
+        self._may_own_row = False
         if not self._is_candidate():
             return
         if row is not None:
-            if self._seen is None or self._seen[0] != row.version:
-                self._seen = (row.version, now)
-            if now - self._seen[1] < self._duration_s:
+            if self._last_change is None or self._last_change[0] != row.version:
+                self._last_change = (row.version, now)
+            if now - self._last_change[1] < self._duration_s:
                 return
-        await self._take(row)
+        await self._acquire(row)
 
-    def _is_mine(self, row: Row) -> bool:
-        """Whether a row was written by this machine."""
-        held = msgspec.json.decode(row.value, type=LeaseRow)
-        if not held.host or held.host != self._host:
+    def _is_own_row(self, row: Row) -> bool:
+        """Whether a row names this machine as the holder."""
+        stored = msgspec.json.decode(row.value, type=LeaseRow)
+        if not stored.host or stored.host != self._host:
             return False
-        is_same_run = held.lifetime == self._lifetime
-        return is_same_run or (bool(self._address) and held.address == self._address)
+        is_same_run = stored.lifetime == self._lifetime
+        return is_same_run or (bool(self._address) and stored.address == self._address)
 
-    async def _take(self, before: Row | None) -> None:
-        version = before.version if before is not None else ABSENT
-        began = self._clock.monotonic()
+    async def _acquire(self, observed: Row | None) -> None:
+        version = observed.version if observed is not None else ABSENT
+        started_at = self._clock.monotonic()
         outcome = await self._write(self._row(0, ABSENT), version)
         match outcome:
-            case Committed(version=taken):
-                self._fence = taken
-                self._version = taken
-                self._count = 0
-                self._extend(began)
+            case Committed(version=acquired):
+                self._fence = acquired
+                self._version = acquired
+                self._renewal_count = 0
+                self._extend(started_at)
                 self._on_change(True)
-                _log.info("leases: taken", lease=self._name, fence=taken)
+                _log.info("leases: taken", lease=self._name, fence=acquired)
             case Conflict():
-                self._seen = None
+                self._last_change = None
             case NotCommitted(trouble=trouble):
-                self._seen = None
+                self._last_change = None
                 raise StoreUnavailableError(trouble)
 
     async def _renew(self) -> None:
-        began = self._clock.monotonic()
-        self._count += 1
-        row = self._row(self._count, self._fence)
+        started_at = self._clock.monotonic()
+        self._renewal_count += 1
+        row = self._row(self._renewal_count, self._fence)
         outcome = await self._write(row, self._version)
         match outcome:
             case Committed(version=version):
                 self._version = version
-                self._extend(began)
+                self._extend(started_at)
             case Conflict():
-                self._drop("taken by another host")
+                self._lose("taken by another host")
             case NotCommitted(trouble=trouble):
                 raise StoreUnavailableError(trouble)
 
@@ -242,12 +245,12 @@
             self._duration_s / 2,
         )
 
-    def _extend(self, began: float) -> None:
-        self._valid_until = began + self._duration_s * (1 - MARGIN)
+    def _extend(self, started_at: float) -> None:
+        self._valid_until = started_at + self._duration_s * (1 - SAFETY_MARGIN_SHARE)
 
-    def _drop(self, reason: str) -> None:
+    def _lose(self, reason: str) -> None:
         _log.warning("leases: lost", lease=self._name, fence=self._fence, reason=reason)
         self._fence = ABSENT
-        self._seen = None
-        self._may_be_mine = True
+        self._last_change = None
+        self._may_own_row = True
         self._on_change(False)
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -1,4 +1,4 @@
-"""One holder at a time, under silence, lost replies and late commits."""
+"""At most one holder at a time, also with outages, lost replies and late commits."""
 
 import asyncio
 
@@ -11,11 +11,11 @@
 from outside.store import GateMode, StoreGate, StoreRows
 
 LEASE_S = 0.8
-NAMES = ["a", "b"]
+HOST_NAMES = ["a", "b"]
 
 
 class Host:
-    """A host's lease and its own gate to the store."""
+    """A host's lease, with a gate of its own to the store."""
 
     def __init__(self, name, gate, address="", lifetime=None):
         self.gate = gate
@@ -30,7 +30,7 @@
 @pytest.fixture
 async def hosts():
     rows = StoreRows()
-    hosts = [Host(name, await StoreGate(rows).start()) for name in NAMES]
+    hosts = [Host(name, await StoreGate(rows).start()) for name in HOST_NAMES]
     yield hosts
     for host in hosts:
         host.task.cancel()
@@ -38,65 +38,65 @@
         await host.gate.stop()
 
 
-def holders(hosts):
+def valid_holders(hosts):
     return [host for host in hosts if host.lease.is_valid]
 
 
-async def held(hosts):
-    await until(lambda: len(holders(hosts)) == 1)
-    [holder] = holders(hosts)
+async def wait_for_holder(hosts):
+    await until(lambda: len(valid_holders(hosts)) == 1)
+    [holder] = valid_holders(hosts)
     [other] = [host for host in hosts if host is not holder]
     return holder, other
 
 
-async def never_two(hosts, seconds):
+async def assert_at_most_one_holder(hosts, seconds):
     for _ in range(int(seconds / 0.02)):
-        assert len(holders(hosts)) <= 1
+        assert len(valid_holders(hosts)) <= 1
         await asyncio.sleep(0.02)
 
 
-async def test_one_host_takes_and_keeps_the_lease(hosts):
-    holder, _ = await held(hosts)
+async def test_one_host_acquires_and_keeps_the_lease(hosts):
+    holder, _ = await wait_for_holder(hosts)
     fence = holder.lease.fence
-    await never_two(hosts, 2 * LEASE_S)
-    assert holders(hosts) == [holder]
+    await assert_at_most_one_holder(hosts, 2 * LEASE_S)
+    assert valid_holders(hosts) == [holder]
     assert holder.lease.fence == fence
 
 
 @pytest.mark.parametrize("mode", [GateMode.BUSY, GateMode.SILENT, GateMode.RESET])
-async def test_a_holder_that_cannot_renew_stops_before_another_takes_over(hosts, mode):
-    holder, other = await held(hosts)
+async def test_a_holder_that_cannot_renew_stops_before_takeover(hosts, mode):
+    holder, other = await wait_for_holder(hosts)
     fence = holder.lease.fence
     holder.gate.mode = mode
-    await never_two(hosts, 3 * LEASE_S)
+    await assert_at_most_one_holder(hosts, 3 * LEASE_S)
     await until(lambda: other.lease.is_valid)
     assert other.lease.fence > fence
     holder.gate.mode = GateMode.OPEN
-    await never_two(hosts, 2 * LEASE_S)
+    await assert_at_most_one_holder(hosts, 2 * LEASE_S)
 
 
-async def test_a_holder_takes_its_own_lease_again_after_an_outage(hosts):
-    holder, other = await held(hosts)
+async def test_a_holder_reacquires_its_own_lease_after_an_outage(hosts):
+    holder, other = await wait_for_holder(hosts)
     fence = holder.lease.fence
     for host in hosts:
         host.gate.mode = GateMode.BUSY
-    await until(lambda: not holders(hosts))
+    await until(lambda: not valid_holders(hosts))
     holder.gate.mode = GateMode.OPEN
-    # It does not wait until its own row has stood still for a lease.
-    await until(lambda: holders(hosts) == [holder], 0.9 * LEASE_S)
+    # The holder does not wait until its own row is unchanged for a lease duration.
+    await until(lambda: valid_holders(hosts) == [holder], 0.9 * LEASE_S)
     other.gate.mode = GateMode.OPEN
     assert holder.lease.fence >= fence
-    await never_two(hosts, 2 * LEASE_S)
+    await assert_at_most_one_holder(hosts, 2 * LEASE_S)
 
 
 @pytest.mark.parametrize(
     ("address", "is_same"), [("10.0.0.1:80", True), ("10.0.0.9:80", False)]
 )
-async def test_a_later_run_takes_it_again_on_the_same_machine_only(
+async def test_a_later_run_reacquires_the_lease_only_on_the_same_machine(
     hosts, address, is_same
 ):
-    """A machine that replaces another may have its name."""
-    holder, _ = await held(hosts)
+    """A machine that replaces another one may have the same host name."""
+    holder, _ = await wait_for_holder(hosts)
     for host in hosts:
         host.task.cancel()
     gate = await StoreGate(holder.gate.rows).start()
@@ -115,30 +115,30 @@
         await gate.stop()
 
 
-async def test_a_released_lease_is_not_taken_at_once(hosts):
-    # What the former holder sent may still be on its way.
-    holder, other = await held(hosts)
+async def test_a_released_lease_is_not_acquired_at_once(hosts):
+    # Messages of the former holder may still be in transit.
+    holder, other = await wait_for_holder(hosts)
     holder.task.cancel()
     await holder.lease.release()
     assert not holder.lease.is_valid
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     await until(lambda: other.lease.is_valid)
-    assert asyncio.get_running_loop().time() - began >= LEASE_S / 2
+    assert asyncio.get_running_loop().time() - started_at >= LEASE_S / 2
 
 
-async def test_lost_replies_do_not_make_two_holders(hosts):
-    holder, _ = await held(hosts)
+async def test_lost_replies_do_not_lead_to_two_holders(hosts):
+    holder, _ = await wait_for_holder(hosts)
     for host in hosts:
         host.gate.lose_replies = 3
-    await never_two(hosts, 2 * LEASE_S)
-    assert holders(hosts) == [holder]
+    await assert_at_most_one_holder(hosts, 2 * LEASE_S)
+    assert valid_holders(hosts) == [holder]
 
 
-async def test_a_late_renewal_of_a_deposed_holder_changes_nothing(hosts):
-    holder, other = await held(hosts)
+async def test_a_late_renewal_of_a_former_holder_has_no_effect(hosts):
+    holder, other = await wait_for_holder(hosts)
     holder.gate.delay_commits = 100
     await until(lambda: other.lease.is_valid, 10.0)
     fence = other.lease.fence
     assert holder.gate.carry_out_delayed() == 0
-    await never_two(hosts, LEASE_S)
+    await assert_at_most_one_holder(hosts, LEASE_S)
     assert other.lease.fence == fence
