--- a/src/bankrudder/workspaces/__init__.py
+++ b/src/bankrudder/workspaces/__init__.py
@@ -1,4 +1,4 @@
-"""Workspaces and their keys: whose request it is, and whether it may run."""
+"""Workspaces and their API keys: which workspace a request belongs to."""
 
 from bankrudder.workspaces._admission import (
     Admitted,
--- a/src/bankrudder/workspaces/_admission.py
+++ b/src/bankrudder/workspaces/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may run, and for which workspace."""
+"""Admission of requests by API key, and the workspace that each belongs to."""
 
 from collections.abc import Iterable
 from enum import Enum
@@ -11,7 +11,7 @@
 
 
 class Admitted(msgspec.Struct, frozen=True):
-    """The request may run for a workspace, `NO_WORKSPACE` if nobody's."""
+    """The request may run, for `NO_WORKSPACE` if it has no known key."""
 
     workspace: WorkspaceName = NO_WORKSPACE
 
@@ -24,45 +24,45 @@
 
 
 class Denial(msgspec.Struct, frozen=True):
-    """The request may not run by the configuration that was asked."""
+    """The request may not run according to the configuration that decided it."""
 
     reason: Refusal
 
 
 class KeyIndex:
-    """The keys of one configuration, made anew with each one.
+    """The keys of one configuration, rebuilt for each new configuration.
 
     Raises
     ------
     DuplicateKeyError
-        If a name or a key stands at two workspaces.
+        If two workspaces have the same name or the same key.
     """
 
     def __init__(self, workspaces: Iterable[WorkspaceKeys]):
-        self._names: set[WorkspaceName] = set()
+        self._workspace_names: set[WorkspaceName] = set()
         self._by_key: dict[KeyDigest, WorkspaceName] = {}
         for each in workspaces:
             self._add(each)
 
     def _add(self, workspace: WorkspaceKeys) -> None:
-        if workspace.name in self._names:
-            raise DuplicateKeyError("a workspace's name stands twice")
-        self._names.add(workspace.name)
+        if workspace.name in self._workspace_names:
+            raise DuplicateKeyError("two workspaces have the same name")
+        self._workspace_names.add(workspace.name)
         for key in workspace.keys:
             if self._by_key.setdefault(key, workspace.name) != workspace.name:
-                raise DuplicateKeyError("a key stands at two workspaces")
+                raise DuplicateKeyError("two workspaces have the same key")
 
     def __len__(self) -> int:
         return len(self._by_key)
 
     def admit(self, key: ApiKey | None, *, is_public: bool) -> Admitted | Denial:
-        """Decide on a request.
+        """Decide whether a request may run, and for which workspace.
 
         Parameters
         ----------
         is_public : bool
-            Whether its route is open to all. A known key still names the workspace
-            there; an unknown one does no harm.
+            Whether the request's route is public. On a public route a known key still
+            determines the workspace, and an unknown key is ignored.
         """
         owner = self._by_key.get(key.digest) if key is not None else None
         if owner is not None:
--- a/src/bankrudder/workspaces/_keys.py
+++ b/src/bankrudder/workspaces/_keys.py
@@ -1,17 +1,17 @@
-"""Keys of callers: secrets that are only ever compared by their digests."""
+"""API keys of callers: secrets that are compared only by their digests."""
 
 import hashlib
 from collections.abc import Sequence
 from typing import NewType
 
 KeyDigest = NewType("KeyDigest", bytes)
-"""SHA-256 of a key. Keys are long random texts, so the digest alone gives none away."""
+"""SHA-256 of a key. Keys are long random strings, so a digest does not reveal one."""
 
 _SCHEME = "bearer"
 
 
 class ApiKey:
-    """A key as a caller sent it; no text of it ever shows the secret."""
+    """A key sent by a caller. Its text representations never contain the secret."""
 
     __slots__ = ("_digest",)
 
@@ -25,18 +25,19 @@
 
     @property
     def digest(self) -> KeyDigest:
-        """What it is compared by."""
+        """The digest by which the key is compared."""
         return self._digest
 
 
 def parse_bearer(values: Sequence[str]) -> ApiKey | None:
-    """Return the key of a request, None without one.
+    """Return the key of a request, or None if the request has none.
 
     Parameters
     ----------
     values : sequence of str
-        All values of the header that carries credentials. More than one of them, or
-        another scheme, is no key: nobody could tell whose request it is.
+        All values of the header that carries credentials. More than one value counts
+        as no key because the workspace would be ambiguous, and so does any scheme
+        other than bearer.
     """
     if len(values) != 1:
         return None
--- a/src/bankrudder/workspaces/_refreshing.py
+++ b/src/bankrudder/workspaces/_refreshing.py
@@ -1,9 +1,10 @@
-"""When the newest configuration is looked at before an unknown key is refused.
+"""Rate limit for refreshing the configuration before an unknown key is refused.
 
-A key works from the moment at which the operator's change is stored, while hosts learn
-of it within a second or so. A caller does not come back after a refusal for its key, so
-a host looks once more before it refuses. Whoever sends unknown keys all day must not
-buy reads of the store with them, so looks are shared and bounded in rate.
+A key is valid from the moment at which the operator's change is stored, but hosts learn
+of the change up to about a second later. A caller does not retry after its key is
+refused, so a host reads the newest configuration once more before it refuses the key.
+These refreshes are shared and limited in rate, so that requests with unknown keys
+cannot cause an unlimited number of store reads.
 """
 
 from collections.abc import Callable
@@ -12,25 +13,26 @@
 
 
 class UnknownKeyRefresh:
-    """Paces the looks of one host; it does none itself.
+    """Limits the rate of one host's refreshes, which the caller carries out.
 
     Parameters
     ----------
     pause_s : callable
-        Least seconds from the begin of one look to that of the next.
+        Returns the minimum number of seconds from the start of one refresh to the
+        start of the next.
     """
 
     def __init__(self, pause_s: Callable[[], float], clock: Clock):
         self._pause_s = pause_s
         self._clock = clock
-        self._began_at: float | None = None
+        self._started_at: float | None = None
 
     def due_in_s(self) -> float:
-        """Return the seconds until a look may begin."""
-        if self._began_at is None:
+        """Return the seconds until a refresh may start."""
+        if self._started_at is None:
             return 0.0
-        return max(self._began_at + self._pause_s() - self._clock.monotonic(), 0.0)
+        return max(self._started_at + self._pause_s() - self._clock.monotonic(), 0.0)
 
     def begin(self) -> None:
-        """Note that a look begins."""
-        self._began_at = self._clock.monotonic()
+        """Record that a refresh starts now."""
+        self._started_at = self._clock.monotonic()
--- a/src/bankrudder/workspaces/_values.py
+++ b/src/bankrudder/workspaces/_values.py
@@ -1,4 +1,4 @@
-"""Workspaces as operators configure them."""
+"""Workspaces in the form in which operators configure them."""
 
 import msgspec
 
@@ -12,9 +12,10 @@
     Attributes
     ----------
     keys : tuple of KeyDigest
-        Any of them will do; none while all were taken away.
+        Each of them is accepted. Empty after all keys have been revoked.
     priority : int or None
-        Goes before that of a route, 0 is the most urgent; None leaves the route's.
+        Overrides the priority of a route, 0 being the most urgent. None leaves the
+        route's priority in effect.
     """
 
     name: WorkspaceName
@@ -23,4 +24,4 @@
 
 
 class DuplicateKeyError(Exception):
-    """A name or a key stands at two workspaces, so nobody could tell them apart."""
+    """Two workspaces share a name or a key, so requests cannot be told apart."""
--- a/tests/workspaces/test_admission.py
+++ b/tests/workspaces/test_admission.py
@@ -1,4 +1,4 @@
-"""Whose request it is, decided from its key alone."""
+"""The workspace of a request is determined by the request's key alone."""
 
 import pytest
 from hypothesis import given
@@ -18,11 +18,13 @@
 SECRET = "9m82thhkmgjqnirth5mg"
 
 
-def workspace(name, *secrets, priority=None):
+def make_workspace(name, *secrets, priority=None):
     return WorkspaceKeys(name, tuple(ApiKey(each).digest for each in secrets), priority)
 
 
-INDEX = KeyIndex([workspace("north", SECRET, "second"), workspace("south", "third")])
+KEY_INDEX = KeyIndex(
+    [make_workspace("north", SECRET, "second"), make_workspace("south", "third")]
+)
 
 
 @pytest.mark.parametrize(
@@ -38,41 +40,43 @@
         (None, True, Admitted()),
     ],
 )
-def test_a_key_tells_whose_request_it_is(secret, is_public, decision):
+def test_a_request_is_admitted_for_the_workspace_of_its_key(
+    secret, is_public, decision
+):
     key = None if secret is None else ApiKey(secret)
-    assert INDEX.admit(key, is_public=is_public) == decision
+    assert KEY_INDEX.admit(key, is_public=is_public) == decision
 
 
-def test_without_any_workspace_nobody_is_admitted():
+def test_no_key_is_admitted_without_workspaces():
     assert KeyIndex([]).admit(ApiKey(SECRET), is_public=False) == Denial(
         Refusal.UNKNOWN_KEY
     )
 
 
-def test_a_workspace_may_have_lost_all_its_keys():
-    index = KeyIndex([workspace("north"), workspace("south", "third")])
+def test_a_workspace_may_have_no_keys():
+    index = KeyIndex([make_workspace("north"), make_workspace("south", "third")])
     assert index.admit(ApiKey("third"), is_public=False) == Admitted("south")
 
 
 @pytest.mark.parametrize(
     "workspaces",
     [
-        [workspace("north", SECRET), workspace("south", SECRET)],
-        [workspace("north", "first"), workspace("north", "second")],
+        [make_workspace("north", SECRET), make_workspace("south", SECRET)],
+        [make_workspace("north", "first"), make_workspace("north", "second")],
     ],
 )
-def test_what_cannot_be_told_apart_is_refused(workspaces):
+def test_duplicate_names_and_shared_keys_are_rejected(workspaces):
     with pytest.raises(DuplicateKeyError) as error:
         KeyIndex(workspaces)
     assert SECRET not in str(error.value)
 
 
-def test_a_key_that_stands_twice_at_one_workspace_does_no_harm():
-    index = KeyIndex([workspace("north", SECRET, SECRET)])
+def test_a_key_repeated_within_one_workspace_is_accepted():
+    index = KeyIndex([make_workspace("north", SECRET, SECRET)])
     assert index.admit(ApiKey(SECRET), is_public=False) == Admitted("north")
 
 
-def test_no_text_of_a_key_shows_it():
+def test_no_text_form_of_a_key_contains_the_secret():
     key = ApiKey(SECRET)
     assert SECRET not in f"{key} {key!r} {[key]} {key.digest!r} {vars(KeyIndex)}"
 
@@ -93,12 +97,12 @@
         ([f"Bearer {SECRET}", f"Bearer {SECRET}"], None),
     ],
 )
-def test_the_credentials_of_a_request(values, secret):
+def test_parsing_the_credentials_of_a_request(values, secret):
     key = parse_bearer(values)
     assert (key and key.digest) == (secret and ApiKey(secret).digest)
 
 
 @given(st.text(st.characters(codec="latin-1") | st.just("\udcff")))
-def test_any_header_is_a_key_or_none(value):
+def test_any_header_value_can_be_parsed_and_decided(value):
     key = parse_bearer([value])
-    assert key is None or INDEX.admit(key, is_public=False) is not None
+    assert key is None or KEY_INDEX.admit(key, is_public=False) is not None
--- a/tests/workspaces/test_refreshing.py
+++ b/tests/workspaces/test_refreshing.py
@@ -1,27 +1,27 @@
-"""Looks for unknown keys are bounded in rate."""
+"""Configuration refreshes for unknown keys are limited in rate."""
 
 from bankrudder.workspaces import UnknownKeyRefresh
 
 
-def test_the_first_look_may_begin_at_once(hand_clock):
+def test_the_first_refresh_may_start_at_once(hand_clock):
     assert UnknownKeyRefresh(lambda: 0.2, hand_clock).due_in_s() == 0
 
 
-def test_a_flood_of_unknown_keys_gets_one_look_in_each_pause(hand_clock):
-    pace = UnknownKeyRefresh(lambda: 0.2, hand_clock)
-    looks = 0
+def test_a_flood_of_unknown_keys_causes_one_refresh_per_pause(hand_clock):
+    limiter = UnknownKeyRefresh(lambda: 0.2, hand_clock)
+    refresh_count = 0
     for _ in range(1000):
-        if pace.due_in_s() == 0:
-            pace.begin()
-            looks += 1
+        if limiter.due_in_s() == 0:
+            limiter.begin()
+            refresh_count += 1
         hand_clock.advance(0.01)
-    assert 45 <= looks <= 51
+    assert 45 <= refresh_count <= 51
 
 
-def test_the_pause_follows_the_fleet(hand_clock):
+def test_a_changed_pause_applies_at_once(hand_clock):
     pauses = [0.2]
-    pace = UnknownKeyRefresh(lambda: pauses[0], hand_clock)
-    pace.begin()
+    limiter = UnknownKeyRefresh(lambda: pauses[0], hand_clock)
+    limiter.begin()
     pauses[0] = 2.0
     hand_clock.advance(0.5)
-    assert pace.due_in_s() == 1.5
+    assert limiter.due_in_s() == 1.5
