--- a/src/bankrudder/presence/__init__.py
+++ b/src/bankrudder/presence/__init__.py
@@ -1,8 +1,8 @@
-"""Which hosts of the system run."""
+"""Heartbeats of the hosts, and each host's view of which other hosts are alive."""
 
 from bankrudder.presence._cleaning import CLEANING_PAUSE_S, HostCleaner
-from bankrudder.presence._drawn import DrawnOrder, draw
 from bankrudder.presence._hosts import Presence
+from bankrudder.presence._rendezvous import DrawnOrder, draw
 from bankrudder.presence._values import HOSTS_TABLE, NO_ADDRESS, Heartbeat, Lifetime
 
 __all__ = [
--- a/src/bankrudder/presence/_cleaning.py
+++ b/src/bankrudder/presence/_cleaning.py
@@ -1,7 +1,7 @@
-"""Removal of the rows of hosts that are gone for good.
+"""Removal of the heartbeat rows of hosts that no longer exist.
 
-Idle hosts beat less often the more rows there are, so rows of replaced hosts would slow
-the heartbeats of all others down.
+Idle hosts send heartbeats less often the more rows there are, so the rows of replaced
+hosts would slow down the heartbeats of all other hosts.
 """
 
 import structlog
@@ -17,28 +17,27 @@
 )
 
 CLEANING_PAUSE_S = 60.0
-"""How often it is looked for such rows."""
+"""Pause between two searches for such rows."""
 
-GONE_S = 600.0
-"""Silence after which a host is taken for gone for good: fifty times as long as the
-largest fleet's hosts are silent between two heartbeats. One that comes back writes its
-row again."""
+STALE_ROW_AGE_S = 600.0
+"""Silence after which a host is considered removed: fifty times the pause between two
+heartbeats in the largest fleet. A host that returns later writes its row again."""
 
 _log = structlog.get_logger("presence")
 
 
 class HostCleaner:
-    """Removes rows; one host at a time is enough."""
+    """Removes stale rows. It needs to run on only one host at a time."""
 
     def __init__(self, store: Store, presence: Presence):
         self._store = store
         self._presence = presence
 
     async def clean(self) -> None:
-        """Remove each row that has stood still for long."""
-        for host, version in self._presence.silent_hosts(GONE_S):
+        """Remove each row that has not changed for `STALE_ROW_AGE_S`."""
+        for host, version in self._presence.silent_hosts(STALE_ROW_AGE_S):
             key = RowKey(HOSTS_TABLE, "", host)
-            # The version makes sure that a host that came back keeps its row.
+            # The expected version keeps the row of a host that has returned.
             transaction = Transaction((Expectation(key, version),), (), (key,))
             outcome = await self._store.commit(transaction)
             _log.info(
--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -1,19 +1,19 @@
-"""Which hosts run: each writes a heartbeat to the store, and all watch them.
+"""Failure detection: each host writes heartbeats to the store and reads all others.
 
-A host is taken for dead when its row did not change for a while on the watcher's
-own steady clock, or when a later run of the host wrote the row. Nothing rests on
-being right: whoever acts for a dead host does so under a condition in the store.
+A host is considered dead when its row has not changed for some time on the observer's
+own monotonic clock, or when a later run of the host has written the row. Correctness
+does not depend on this: whoever acts for a dead host uses a conditional write.
 """
 
 import asyncio
 from collections.abc import Callable, Collection
 from itertools import islice
 
-from bankrudder.presence._drawn import DrawnOrder
+from bankrudder.presence._rendezvous import DrawnOrder
 from bankrudder.presence._seen import SeenHosts
-from bankrudder.presence._sending import HeartbeatSender, Rhythm
+from bankrudder.presence._sending import HeartbeatSchedule, HeartbeatSender
 from bankrudder.presence._values import (
-    HEARTBEAT_S,
+    HEARTBEAT_INTERVAL_S,
     HOSTS_TABLE,
     NO_ADDRESS,
     NO_DATA_CENTRE,
@@ -30,30 +30,38 @@
 
 IDLE_HEARTBEATS_PER_S = 30.0
 BUSY_HEARTBEATS_PER_S = 60.0
-"""Most heartbeats a second of all hosts without work, and of all with work: together
-well under what one part of the store takes. In a large fleet they come less often."""
+"""Maximum heartbeats per second of all idle hosts, and of all busy hosts. Together they
+are well below the write rate that one part of the store accepts. In a large fleet each
+host therefore sends heartbeats less often."""
 
-FRESH_INTERVALS = 2.0
-FRESH_SLACK_S = 0.4
-"""A host whose last heartbeat is older than so many intervals, and the time in which
-one is read, gets no new work: it may be about to be found dead."""
+MAX_AGE_INTERVALS = 2.0
+MAX_AGE_SLACK_S = 0.4
+"""Maximum age of a host's last heartbeat, in intervals plus the time until a heartbeat
+is read, at which the host still gets new work. An older one may be of a dead host."""
 
-MISSED_HEARTBEATS = 3
-"""Heartbeats that may be missing before a host is taken for dead. A batch whose owner
-is lost waits this long, a fifth of the time in which its results are due."""
+MAX_MISSED_HEARTBEATS = 3
+"""Heartbeat intervals without a heartbeat after which a host is considered dead. A
+batch whose owner is lost waits this long, a fifth of the time in which its results are
+due."""
 
-FOLLOW_PAUSE_S = 0.25
-"""Shortest pause between reads of the heartbeats: half of their interval."""
+MIN_READ_PAUSE_S = 0.25
+"""Minimum pause between two reads of the heartbeats: half of their interval."""
 
-READ_SHARE = 0.2
-"""Share of the reads of the store that the heartbeats may take."""
+HEARTBEAT_READ_SHARE = 0.2
+"""Share of the store's read rate that reading heartbeats may use."""
 
-READS_PER_S = 2000.0
-"""Reads that the store serves if nobody says more: the rate of the small sites."""
+DEFAULT_STORE_READS_PER_S = 2000.0
+"""Store reads per second if no read pace is given: the rate of the small sites."""
 
 
 class Presence:
-    """The heartbeat of this host, and the view of all others."""
+    """Sends the heartbeats of this host and evaluates those of all other hosts.
+
+    Parameters
+    ----------
+    room : float, optional
+        Capacity of this host, in processor cores of the reference speed.
+    """
 
     def __init__(
         self,
@@ -70,8 +78,8 @@
         wall_ahead_s: Callable[[], float | None] = lambda: None,
     ):
         self._wall_ahead_s = wall_ahead_s
-        pace = pace or ReadPace(lambda: 1, READS_PER_S)
-        self._pause_s = pace.pause(READ_SHARE, FOLLOW_PAUSE_S)
+        pace = pace or ReadPace(lambda: 1, DEFAULT_STORE_READS_PER_S)
+        self._pause_s = pace.pause(HEARTBEAT_READ_SHARE, MIN_READ_PAUSE_S)
         self._feed_address = feed_address
         self._reads_for_others = False
         self._host = host
@@ -89,16 +97,16 @@
             store,
             host,
             clock,
-            compose=self._compose,
-            rhythm=self._rhythm,
+            make_heartbeat=self._make_heartbeat,
+            schedule=self._current_schedule,
             on_written=on_written,
         )
         self._follower = TableFollower(
             store,
             HOSTS_TABLE,
             clock,
-            on_row=self._seen.take,
-            on_removed=self._seen.drop,
+            on_row=self._seen.apply_row,
+            on_removed=self._seen.remove_row,
             pause_s=self._pause_s,
         )
 
@@ -109,57 +117,60 @@
 
     @property
     def lifetime(self) -> Lifetime:
-        """Identifier of this run."""
+        """Identifier of this run of the daemon."""
         return self._lifetime
 
     @property
     def seen(self) -> SeenHosts:
-        """What the heartbeats of all hosts told last."""
+        """The newest heartbeat of each known host."""
         return self._seen
 
     @property
     def is_announced(self) -> bool:
-        """Whether the other hosts can know of this run, unless the store fails."""
+        """Whether others can know of this run: the store has answered a heartbeat."""
         return self._sender.was_answered
 
     @property
     def interval_s(self) -> float:
-        """Seconds between two heartbeats of this host."""
-        idle_s = max(HEARTBEAT_S, len(self._seen) / IDLE_HEARTBEATS_PER_S)
+        """Current number of seconds between two heartbeats of this host."""
+        idle_s = max(HEARTBEAT_INTERVAL_S, len(self._seen) / IDLE_HEARTBEATS_PER_S)
         if not (self._is_busy or self._reads_for_others):
             return idle_s
-        busy = sum(beat.interval_s < idle_s for beat in self._seen.beats())
-        return max(HEARTBEAT_S, busy / BUSY_HEARTBEATS_PER_S)
+        busy = sum(
+            heartbeat.interval_s < idle_s
+            for heartbeat in self._seen.newest_heartbeats()
+        )
+        return max(HEARTBEAT_INTERVAL_S, busy / BUSY_HEARTBEATS_PER_S)
 
     def set_busy(self, is_busy: bool) -> None:
-        """Beat more often while others wait for what this host does."""
+        """Send heartbeats more often while other hosts wait for this host's work."""
         if is_busy and not self._is_busy:
-            self._sender.hurry()
+            self._sender.request_send()
         self._is_busy = is_busy
 
     def set_reads_for_others(self, reads_for_others: bool) -> None:
-        """Beat more often while others wait for this host's reads of the store."""
+        """Send heartbeats more often while this host reads the store for others."""
         if reads_for_others and not self._reads_for_others:
-            self._sender.hurry()
+            self._sender.request_send()
         self._reads_for_others = reads_for_others
 
     def set_revision(self, revision: Revision) -> None:
-        """Tell the others which configuration is in force here."""
+        """Publish which configuration is in force on this host."""
         self._revision = revision
-        self._sender.hurry()
+        self._sender.request_send()
 
     def live_hosts(self, data_centres: Collection[DataCentreName] = ()) -> list[HostId]:
-        """Return the hosts that are taken for alive and stay, sorted.
+        """Return the live hosts that are not about to stop, sorted.
 
         Parameters
         ----------
         data_centres : collection of DataCentreName
-            Where they must be; empty for anywhere.
+            Data centres to which the hosts are restricted; empty for all.
         """
         return sorted(
             host
             for host in self._seen
-            if self._stays(host, self._seen[host].beat, data_centres)
+            if self._is_eligible(host, self._seen[host].heartbeat, data_centres)
         )
 
     def first_live(
@@ -169,48 +180,51 @@
         data_centres: Collection[DataCentreName] = (),
         condition: Callable[[Heartbeat], bool] = lambda _: True,
     ) -> list[HostId]:
-        """Return the first live hosts in a drawn order that meet a condition.
+        """Return the first live hosts in a rendezvous order that meet a condition.
 
-        Only so many hosts are looked at as are needed.
+        Hosts are checked only until enough are found.
 
         Parameters
         ----------
         count : int
-            Most hosts that are returned.
+            Maximum number of hosts to return.
         data_centres : collection of DataCentreName
-            Where they must be; empty for anywhere.
+            Data centres to which the hosts are restricted; empty for all.
         """
         found = (
             host
-            for host in order.of(self._seen.names())
-            if condition(self._seen[host].beat)
-            and self._stays(host, self._seen[host].beat, data_centres)
+            for host in order.of(self._seen.known_hosts())
+            if condition(self._seen[host].heartbeat)
+            and self._is_eligible(host, self._seen[host].heartbeat, data_centres)
         )
         return list(islice(found, count))
 
-    def _stays(
-        self, host: HostId, beat: Heartbeat, data_centres: Collection[DataCentreName]
+    def _is_eligible(
+        self,
+        host: HostId,
+        heartbeat: Heartbeat,
+        data_centres: Collection[DataCentreName],
     ) -> bool:
-        # What costs the most is looked at last.
+        # The most expensive check comes last.
         return (
-            not beat.is_leaving
+            not heartbeat.is_leaving
             and self.is_in(host, data_centres)
-            and self._is_fresh(host)
+            and self._has_recent_heartbeat(host)
         )
 
     def is_in(self, host: HostId, data_centres: Collection[DataCentreName]) -> bool:
-        """Whether a host is in one of some data centres; any if there are none."""
+        """Whether a host is in one of the data centres; True if none are given."""
         if not data_centres:
             return True
         if host == self._host:
             return self._data_centre in data_centres
         seen = self._seen.get(host)
-        return seen is not None and seen.beat.data_centre in data_centres
+        return seen is not None and seen.heartbeat.data_centre in data_centres
 
     def silent_hosts(self, seconds: float) -> list[tuple[HostId, RowVersion]]:
-        """Return the hosts whose rows stood still for so long, and the rows' versions.
+        """Return hosts whose rows have not changed for `seconds`, and the row versions.
 
-        None while this host cannot read the rows.
+        The list is empty while this host cannot read the rows.
         """
         if self._follower.lost_since is not None:
             return []
@@ -219,108 +233,117 @@
         return [
             (host, seen.version)
             for host, seen in self._seen.others(self._host)
-            if max(seen.at, regained_at) < since
+            if max(seen.seen_at, regained_at) < since
         ]
 
     def host_count(self) -> int:
-        """Return the number of hosts that are known."""
+        """Return the number of known hosts."""
         return len(self._seen)
 
     def heartbeats(self) -> dict[HostId, Heartbeat]:
-        """Return the newest heartbeat of each host that is known."""
-        return {host: self._seen[host].beat for host in self._seen}
+        """Return the newest heartbeat of each known host."""
+        return {host: self._seen[host].heartbeat for host in self._seen}
 
     def set_holds_lease(self, holds_lease: bool) -> None:
-        """Tell the others whether this host carries out a duty under a lease."""
+        """Publish whether this host carries out a duty under a lease."""
         self._holds_lease = holds_lease
 
     def duty_hosts(self, order: DrawnOrder, count: int) -> list[HostId]:
-        """Return the first live hosts in a drawn order for a duty under a lease.
+        """Return the first live hosts in a rendezvous order for a duty under a lease.
 
-        Hosts without batches go first, so that the loss of one host does not stop
-        both a step and the orders.
+        Hosts without batches are preferred, so that the loss of one host does not
+        interrupt both a training step and the duty.
         """
-        free = self.first_live(order, count, condition=lambda beat: not beat.is_busy)
+        free = self.first_live(
+            order, count, condition=lambda heartbeat: not heartbeat.is_busy
+        )
         return free or self.first_live(order, count)
 
     def batch_hosts(
         self, data_centres: Collection[DataCentreName] = ()
     ) -> list[HostId]:
-        """Return the hosts that should get new batches: those without duties first."""
+        """Return the hosts that should get new batches.
+
+        Hosts that hold a lease are included only if no other host is available.
+        """
         hosts = [
             host for host in self.live_hosts(data_centres) if self.takes_new_work(host)
         ]
-        free = [host for host in hosts if not self._seen[host].beat.holds_lease]
+        free = [host for host in hosts if not self._seen[host].heartbeat.holds_lease]
         return free or hosts
 
     def takes_new_work(self, host: HostId) -> bool:
-        """Whether a host stays, and was heard of as lately as it should have been."""
+        """Whether a host is not about to stop and its last heartbeat is not overdue."""
         seen = self._seen.get(host)
-        if seen is None or seen.beat.is_leaving or not self._is_fresh(host):
+        if (
+            seen is None
+            or seen.heartbeat.is_leaving
+            or not self._has_recent_heartbeat(host)
+        ):
             return False
         if host == self._host:
             return True
-        age_s = self._clock.monotonic() - seen.at
-        slack_s = FRESH_SLACK_S + self._pause_s() - FOLLOW_PAUSE_S
-        return age_s < FRESH_INTERVALS * seen.beat.interval_s + slack_s
+        age_s = self._clock.monotonic() - seen.seen_at
+        slack_s = MAX_AGE_SLACK_S + self._pause_s() - MIN_READ_PAUSE_S
+        return age_s < MAX_AGE_INTERVALS * seen.heartbeat.interval_s + slack_s
 
     def is_alive(self, host: HostId, lifetime: Lifetime) -> bool:
-        """Whether a run of a host is taken for alive, also one that is leaving."""
+        """Whether a run of a host is considered alive, even if the host is leaving."""
         if host == self._host:
             return lifetime == self._lifetime
         seen = self._seen.get(host)
         if seen is None:
-            # Not read yet: nothing is known before the first whole read.
+            # Before the first complete read, a missing row says nothing.
             return not self._follower.is_loaded
-        return seen.beat.lifetime == lifetime and self._is_fresh(host)
+        return seen.heartbeat.lifetime == lifetime and self._has_recent_heartbeat(host)
 
     @property
     def read_version(self) -> RowVersion:
-        """Version of the store up to which all heartbeats are known here."""
+        """Store version up to which this host has read all heartbeats."""
         return self._follower.read_version
 
     def lifetime_of(self, host: HostId) -> Lifetime | None:
         """Return the newest run of a host, None if the host is not known."""
         seen = self._seen.get(host)
-        return seen.beat.lifetime if seen is not None else None
+        return seen.heartbeat.lifetime if seen is not None else None
 
     def room_of(self, host: HostId) -> float:
-        """Return what a host can carry, in cores of usual speed."""
+        """Return a host's capacity in processor cores of the reference speed."""
         seen = self._seen.get(host)
-        return seen.beat.room if seen is not None else 0.0
+        return seen.heartbeat.room if seen is not None else 0.0
 
     def leave(self) -> None:
-        """Tell the others that this host is about to stop."""
+        """Publish in later heartbeats that this host is about to stop."""
         self._is_leaving = True
 
     async def run(self) -> None:
-        """Send heartbeats and watch the others until cancelled."""
+        """Send heartbeats and read those of the other hosts until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._follower.run())
             group.create_task(self._sender.run())
 
     def own_heartbeat(self) -> Heartbeat:
-        """Return what this host told the others last, as it is now."""
-        return self._compose(self._sender.count)
+        """Return this host's last heartbeat with the present values."""
+        return self._make_heartbeat(self._sender.count)
 
     async def announce(self) -> None:
         """Send one heartbeat now."""
         await self._sender.send()
 
     async def refresh(self) -> None:
-        """Read the heartbeats that are in the store now, beside the following.
+        """Read the heartbeats now, in addition to the periodic reads.
 
         Raises
         ------
         StoreUnavailableError
-            If they cannot be read.
+            If the heartbeats cannot be read.
         """
         await self._follower.refresh()
 
-    def _rhythm(self) -> Rhythm:
-        return Rhythm(self.interval_s, is_resent=self._is_busy)
+    def _current_schedule(self) -> HeartbeatSchedule:
+        return HeartbeatSchedule(self.interval_s, should_resend=self._is_busy)
 
-    def _compose(self, count: int) -> Heartbeat:
+    def _make_heartbeat(self, count: int) -> Heartbeat:
         return Heartbeat(
             self._lifetime,
             count,
@@ -336,15 +359,15 @@
             self._wall_ahead_s(),
         )
 
-    def _is_fresh(self, host: HostId) -> bool:
+    def _has_recent_heartbeat(self, host: HostId) -> bool:
         if host == self._host:
             return True
-        if self._sender.fails:
-            # The rows of the heartbeats take no writes: nobody's can arrive.
+        if self._sender.is_failing:
+            # The store does not accept heartbeats, so none can arrive from any host.
             return True
         read_at = self._follower.last_read_at or 0.0
         regained_at = self._follower.regained_at or 0.0
         seen = self._seen[host]
-        since = max(seen.at, regained_at, self._sender.works_since)
-        silence_s = MISSED_HEARTBEATS * seen.beat.interval_s
+        since = max(seen.seen_at, regained_at, self._sender.recovered_at)
+        silence_s = MAX_MISSED_HEARTBEATS * seen.heartbeat.interval_s
         return read_at - since < silence_s
--- a/src/bankrudder/presence/_drawn.py
+++ b/src/bankrudder/presence/_rendezvous.py
@@ -1,7 +1,7 @@
-"""An order of hosts that is drawn from a name, and so the same on every host.
+"""Rendezvous hashing: an order of hosts, computed from a name, equal on every host.
 
-Hosts that need somebody for a duty, and have no one to ask, agree on who it is: the
-first live host in the order that the duty's name gives.
+It lets hosts choose a host for a duty without communication: the first live host in the
+order that belongs to the duty's name.
 """
 
 import hashlib
@@ -11,14 +11,14 @@
 
 
 def draw(name: str, host: HostId) -> bytes:
-    """Return the place of a host in the order of a name; the least goes first."""
+    """Return the sort key of a host in the order of a name."""
     return hashlib.md5(f"{name}/{host}".encode()).digest()
 
 
 class DrawnOrder:
-    """The order of one name, kept while the hosts are the same.
+    """The order of hosts for one name, cached while the set of hosts is the same.
 
-    Sorting 195 hosts anew took a tenth of what a host without work uses.
+    Sorting 195 hosts each time took a tenth of the processor time of an idle host.
     """
 
     def __init__(self, name: str):
@@ -27,7 +27,7 @@
         self._order: Sequence[HostId] = ()
 
     def of(self, hosts: Collection[HostId]) -> Sequence[HostId]:
-        """Return all hosts in order.
+        """Return all hosts in the order of the name.
 
         Parameters
         ----------
--- a/src/bankrudder/presence/_seen.py
+++ b/src/bankrudder/presence/_seen.py
@@ -1,4 +1,4 @@
-"""What the heartbeats of all hosts told last; it decides nothing."""
+"""The newest heartbeat of each host, as read from the store."""
 
 from collections import deque
 from collections.abc import Iterator, KeysView
@@ -10,9 +10,9 @@
 from bankrudder.store import Row, RowKey, RowVersion
 from bankrudder.world import Clock, HostId
 
-KEPT_ENDED = 1000
-"""Ended runs that are remembered: a late heartbeat comes seconds after the end, in
-which far fewer hosts restart."""
+MAX_ENDED_LIFETIMES = 1000
+"""Number of ended runs whose identifiers are remembered. A late heartbeat arrives
+seconds after its run has ended, and far fewer hosts restart within that time."""
 
 _log = structlog.get_logger("presence")
 
@@ -25,21 +25,21 @@
     at : float
         Monotonic time at which it was read.
     version : RowVersion
-        Of the host's row.
+        Version of the host's row.
     """
 
-    beat: Heartbeat
-    at: float
+    heartbeat: Heartbeat
+    seen_at: float
     version: RowVersion
 
 
 class SeenHosts:
-    """The newest heartbeat of each host that is known."""
+    """The newest heartbeat of each known host."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._seen: dict[HostId, SeenHost] = {}
-        self._ended: deque[Lifetime] = deque(maxlen=KEPT_ENDED)
+        self._ended_lifetimes: deque[Lifetime] = deque(maxlen=MAX_ENDED_LIFETIMES)
 
     def __len__(self) -> int:
         return len(self._seen)
@@ -51,59 +51,63 @@
         return self._seen[host]
 
     def get(self, host: HostId) -> SeenHost | None:
-        """Return what was seen of a host, None if it is not known."""
+        """Return the newest heartbeat of a host, None if the host is not known."""
         return self._seen.get(host)
 
-    def names(self) -> KeysView[HostId]:
-        """Return the hosts that are known."""
+    def known_hosts(self) -> KeysView[HostId]:
+        """Return the names of all known hosts."""
         return self._seen.keys()
 
     def others(self, host: HostId) -> Iterator[tuple[HostId, SeenHost]]:
-        """Yield what was seen of all other hosts."""
+        """Yield all known hosts except `host`, with their newest heartbeats."""
         return (each for each in self._seen.items() if each[0] != host)
 
-    def beats(self) -> list[Heartbeat]:
-        """Return the newest heartbeats."""
-        return [each.beat for each in self._seen.values()]
+    def newest_heartbeats(self) -> list[Heartbeat]:
+        """Return the newest heartbeats of all known hosts."""
+        return [each.heartbeat for each in self._seen.values()]
 
     def is_everyone_heard(
-        self, but: HostId, seconds: float, forgotten_s: float
+        self, excluded: HostId, seconds: float, max_silence_s: float
     ) -> bool:
-        """Whether each host that may still come back was heard of of late.
+        """Whether each host that may still return has sent a recent heartbeat.
 
         Parameters
         ----------
-        but : HostId
-            A host that does not count, the one that asks.
+        excluded : HostId
+            Host that is left out: the one that asks.
         seconds : float
-            How lately.
-        forgotten_s : float
-            Silence after which a host is not waited for any more.
+            Maximum age of a recent heartbeat.
+        max_silence_s : float
+            Silence after which a host is no longer expected to return.
         """
         since = self._clock.monotonic() - seconds
-        forgotten = self._clock.monotonic() - forgotten_s
-        return not any(forgotten < seen.at < since for _, seen in self.others(but))
+        gone_since = self._clock.monotonic() - max_silence_s
+        return not any(
+            gone_since < seen.seen_at < since for _, seen in self.others(excluded)
+        )
 
     def wall_ahead(self) -> list[float]:
-        """Return how far each host's time of day is ahead of the store's clock."""
+        """Return how far each host's wall clock is ahead of the store's clock."""
         return [
-            beat.wall_ahead_s for beat in self.beats() if beat.wall_ahead_s is not None
+            heartbeat.wall_ahead_s
+            for heartbeat in self.newest_heartbeats()
+            if heartbeat.wall_ahead_s is not None
         ]
 
-    def take(self, row: Row) -> None:
-        """Take a host's row as it is now."""
+    def apply_row(self, row: Row) -> None:
+        """Record the heartbeat in a new or changed row."""
         host = HostId(row.key.key)
-        beat = msgspec.json.decode(row.value, type=Heartbeat)
-        if beat.lifetime in self._ended:
-            return  # written before that run ended, and carried out late
+        heartbeat = msgspec.json.decode(row.value, type=Heartbeat)
+        if heartbeat.lifetime in self._ended_lifetimes:
+            return  # written before that run ended and applied late by the store
         before = self._seen.get(host)
-        if before is not None and before.beat.lifetime != beat.lifetime:
-            self._ended.append(before.beat.lifetime)
-        if before is None or before.beat.lifetime != beat.lifetime:
-            _log.info("presence: host runs", host=host, lifetime=beat.lifetime)
-        self._seen[host] = SeenHost(beat, self._clock.monotonic(), row.version)
-
-    def drop(self, key: RowKey) -> None:
-        """Forget a host whose row is gone."""
+        if before is not None and before.heartbeat.lifetime != heartbeat.lifetime:
+            self._ended_lifetimes.append(before.heartbeat.lifetime)
+        if before is None or before.heartbeat.lifetime != heartbeat.lifetime:
+            _log.info("presence: host runs", host=host, lifetime=heartbeat.lifetime)
+        self._seen[host] = SeenHost(heartbeat, self._clock.monotonic(), row.version)
+
+    def remove_row(self, key: RowKey) -> None:
+        """Forget a host whose row was removed."""
         self._seen.pop(HostId(key.key), None)
         _log.info("presence: host removed", host=key.key)
--- a/src/bankrudder/presence/_values.py
+++ b/src/bankrudder/presence/_values.py
@@ -1,4 +1,4 @@
-"""Heartbeats as hosts write them to the store."""
+"""Heartbeats in the form in which hosts write them to the store."""
 
 from typing import NewType
 
@@ -13,10 +13,10 @@
 
 NO_DATA_CENTRE = DataCentreName("")
 NO_ADDRESS = Address("")
-"""Where a host is that does not say so, or takes no remote procedure calls."""
+"""Placeholders for a host that gives no data centre, or accepts no remote calls."""
 
-HEARTBEAT_S = 0.5
-"""Seconds between two heartbeats of a host that others wait for."""
+HEARTBEAT_INTERVAL_S = 0.5
+"""Shortest time between two heartbeats; that of a host that other hosts wait for."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -25,34 +25,34 @@
     Attributes
     ----------
     count : int
-        Grows with each heartbeat.
+        Number of the heartbeat, counted from one in each run.
     is_leaving : bool
         Whether the host is about to stop as planned.
     room : float
-        What the host can carry, in cores of usual speed.
+        Capacity of the host, in processor cores of the reference speed.
     interval_s : float
         Seconds until the next heartbeat.
     is_busy : bool
-        Whether others wait for its work on batches.
+        Whether other hosts wait for the host's work on batches.
     holds_lease : bool
-        Whether it carries out a duty under a lease.
+        Whether the host carries out a duty under a lease.
     rpc_address : Address
-        Where it takes remote procedure calls, empty if it does not.
+        Where the host accepts remote procedure calls, empty if it does not.
     revision : Revision
-        The project's own configuration that it has in force.
+        Revision of the configuration in force on the host.
     feed_address : Address
-        Where it passes changes of the store on if it reads for others, empty if it
-        cannot.
+        Where the host publishes changes of the store when it reads for others, empty
+        if it cannot.
     wall_ahead_s : float or None
-        How far its time of day is ahead of the store's clock, None if it does not
-        say so.
+        How far the host's wall clock is ahead of the store's clock, None if the host
+        does not publish it.
     """
 
     lifetime: Lifetime
     count: int
     is_leaving: bool = False
     room: float = 1.0
-    interval_s: float = HEARTBEAT_S
+    interval_s: float = HEARTBEAT_INTERVAL_S
     is_busy: bool = False
     holds_lease: bool = False
     data_centre: DataCentreName = NO_DATA_CENTRE
--- a/tests/presence/test_cleaning.py
+++ b/tests/presence/test_cleaning.py
@@ -1,11 +1,11 @@
-"""Rows of hosts that are gone for good."""
+"""Removal of the heartbeat rows of hosts that no longer exist."""
 
 import asyncio
 
 import pytest
 
 from bankrudder.presence import HostCleaner, Presence
-from bankrudder.presence._cleaning import GONE_S
+from bankrudder.presence._cleaning import STALE_ROW_AGE_S
 from outside.site import until
 
 
@@ -19,22 +19,22 @@
     await asyncio.gather(task, return_exceptions=True)
 
 
-def beat(rows, host, count=1):
+def write_heartbeat(rows, host, count=1):
     rows.put("hosts", host, {"lifetime": f"life-{host}", "count": count})
 
 
-async def test_a_row_that_stood_still_for_long_is_removed(
+async def test_a_stale_row_is_removed_unless_its_host_returns(
     store, rows, presence, hand_clock
 ):
     cleaner = HostCleaner(store, presence)
     for host in ("gone", "back"):
-        beat(rows, host)
+        write_heartbeat(rows, host)
     await until(lambda: presence.host_count() == 3)
-    hand_clock.advance(GONE_S - 1)
+    hand_clock.advance(STALE_ROW_AGE_S - 1)
     await cleaner.clean()
     hand_clock.advance(2)
-    silent = presence.silent_hosts(GONE_S)
-    beat(rows, "back", 2)  # before the removal, and not read yet
+    silent = presence.silent_hosts(STALE_ROW_AGE_S)
+    write_heartbeat(rows, "back", 2)  # written before the removal but not read yet
     presence.silent_hosts = lambda seconds: silent
     await cleaner.clean()
     await until(lambda: presence.host_count() == 2)
--- a/tests/presence/test_hosts.py
+++ b/tests/presence/test_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts are taken for dead by their silence, and only if they could be heard."""
+"""Silent hosts are considered dead, unless heartbeats cannot be written or read."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Host:
-    """A host's presence and its own gate to the store."""
+    """A host's presence, with a gate of its own to the store."""
 
     def __init__(self, name, gate):
         self.gate = gate
@@ -35,17 +35,17 @@
         await host.stop()
 
 
-async def all_known(hosts):
+async def wait_until_all_known(hosts):
     for host in hosts:
         await until(lambda host=host: host.presence.live_hosts() == ["a", "b", "c"])
 
 
-def on_duty(presence):
+def find_duty_hosts(presence):
     return sorted(presence.duty_hosts(DrawnOrder("duty"), 3))
 
 
-async def test_a_silent_host_is_taken_for_dead(hosts):
-    await all_known(hosts)
+async def test_a_silent_host_is_considered_dead(hosts):
+    await wait_until_all_known(hosts)
     hosts[0].task.cancel()
     await until(lambda: hosts[1].presence.live_hosts() == ["b", "c"], 5.0)
     assert not hosts[1].presence.is_alive("a", "life-of-a")
@@ -53,19 +53,19 @@
 
 
 async def test_an_earlier_run_of_a_host_is_dead_at_once(hosts):
-    await all_known(hosts)
+    await wait_until_all_known(hosts)
     assert not hosts[1].presence.is_alive("a", "an-earlier-life")
 
 
-async def test_a_host_that_leaves_is_alive_but_no_candidate(hosts):
-    await all_known(hosts)
+async def test_a_leaving_host_is_alive_but_not_eligible(hosts):
+    await wait_until_all_known(hosts)
     hosts[0].presence.leave()
     await until(lambda: hosts[1].presence.live_hosts() == ["b", "c"])
     assert hosts[1].presence.is_alive("a", "life-of-a")
 
 
-async def test_nobody_is_taken_for_dead_while_heartbeats_cannot_be_written(hosts):
-    await all_known(hosts)
+async def test_no_host_is_considered_dead_while_heartbeats_cannot_be_written(hosts):
+    await wait_until_all_known(hosts)
     for host in hosts:
         host.gate.refuses_table = "hosts"
     for _ in range(30):
@@ -78,8 +78,8 @@
         assert hosts[1].presence.is_alive("a", "life-of-a")
 
 
-async def test_an_outage_for_all_makes_nobody_dead(hosts):
-    await all_known(hosts)
+async def test_no_host_is_considered_dead_after_an_outage_for_all(hosts):
+    await wait_until_all_known(hosts)
     for host in hosts:
         host.gate.mode = GateMode.BUSY
     await asyncio.sleep(2.5)
@@ -91,10 +91,10 @@
 
 
 async def test_a_busy_host_is_missed_sooner_than_an_idle_one(hosts, monkeypatch):
-    # As in a fleet so large that idle hosts beat every three seconds.
+    # Idle hosts send heartbeats every three seconds, as in a very large fleet.
     monkeypatch.setattr("bankrudder.presence._hosts.IDLE_HEARTBEATS_PER_S", 1.0)
     hosts[0].presence.set_busy(True)
-    await all_known(hosts)
+    await wait_until_all_known(hosts)
     await asyncio.sleep(1.0)
     assert hosts[0].presence.interval_s == 0.5
     assert hosts[1].presence.interval_s == 3.0
@@ -104,13 +104,14 @@
     await until(lambda: hosts[2].presence.live_hosts() == ["b", "c"], 3.0)
 
 
-async def test_one_failed_heartbeat_of_the_watcher_hides_no_lost_host(
+async def test_one_failed_heartbeat_of_an_observer_does_not_delay_detection(
     hosts, monkeypatch
 ):
-    # The watcher is idle in a fleet so large that it beats every three seconds.
+    # The observer is idle and sends heartbeats every three seconds, as in a very large
+    # fleet.
     monkeypatch.setattr("bankrudder.presence._hosts.IDLE_HEARTBEATS_PER_S", 1.0)
     hosts[0].presence.set_busy(True)
-    await all_known(hosts)
+    await wait_until_all_known(hosts)
     await asyncio.sleep(1.0)
     hosts[2].gate.refuses_table = "hosts"
     hosts[2].presence.set_revision(1)  # sends a heartbeat at once
@@ -122,30 +123,30 @@
 
 
 async def test_duties_and_batches_go_to_different_hosts(hosts):
-    await all_known(hosts)
+    await wait_until_all_known(hosts)
     hosts[0].presence.set_busy(True)
     hosts[1].presence.set_holds_lease(True)
     presence = hosts[2].presence
-    await until(lambda: on_duty(presence) == ["b", "c"])
+    await until(lambda: find_duty_hosts(presence) == ["b", "c"])
     await until(lambda: presence.batch_hosts() == ["a", "c"])
     for host in hosts:
         host.presence.set_busy(True)
         host.presence.set_holds_lease(True)
-    # Where all have some, all may have more.
-    await until(lambda: on_duty(presence) == ["a", "b", "c"])
+    # If every host has both kinds of work, every host may get more.
+    await until(lambda: find_duty_hosts(presence) == ["a", "b", "c"])
     await until(lambda: presence.batch_hosts() == ["a", "b", "c"])
 
 
-async def test_a_host_whose_replies_are_lost_is_still_heard(hosts):
-    await all_known(hosts)
+async def test_a_host_whose_replies_are_lost_stays_alive(hosts):
+    await wait_until_all_known(hosts)
     hosts[0].gate.hang_replies = True
     for _ in range(40):
         await asyncio.sleep(0.1)
         assert hosts[1].presence.is_alive("a", "life-of-a")
 
 
-async def test_a_late_heartbeat_of_an_ended_run_is_passed_over(hosts):
-    await all_known(hosts)
+async def test_a_late_heartbeat_of_an_ended_run_is_ignored(hosts):
+    await wait_until_all_known(hosts)
     hosts[0].task.cancel()
     gate = hosts[0].gate
     row = gate.rows.rows["hosts", "", "a"][1]
@@ -160,25 +161,25 @@
         assert not hosts[1].presence.is_alive("a", "life-of-a")
 
 
-async def test_a_busy_host_is_heard_although_half_of_its_writes_come_late(hosts):
+async def test_a_busy_host_stays_alive_when_half_of_its_writes_are_late(hosts):
     hosts[0].presence.set_busy(True)
-    await all_known(hosts)
+    await wait_until_all_known(hosts)
     hosts[0].gate.late_share = 0.5
     for _ in range(80):
         await asyncio.sleep(0.1)
         assert hosts[1].presence.is_alive("a", "life-of-a")
 
 
-async def test_the_first_hosts_of_a_drawn_order_are_the_same_everywhere(hosts):
-    await all_known(hosts)
-    drawn = sorted(("a", "b", "c"), key=lambda host: draw("duty", host))
+async def test_all_hosts_agree_on_the_first_hosts_of_an_order(hosts):
+    await wait_until_all_known(hosts)
+    expected_order = sorted(("a", "b", "c"), key=lambda host: draw("duty", host))
     for host in hosts:
         found = host.presence.first_live(DrawnOrder("duty"), 2)
-        assert found == drawn[:2]
+        assert found == expected_order[:2]
 
 
-async def test_hosts_that_ended_or_do_not_fit_are_passed_over_in_a_drawn_order(hosts):
-    await all_known(hosts)
+async def test_leaving_and_unsuitable_hosts_are_skipped_in_an_order(hosts):
+    await wait_until_all_known(hosts)
     order = DrawnOrder("duty")
     first, second, third = hosts[1].presence.first_live(order, 3)
     by_name = {host.presence.host: host for host in hosts}
@@ -186,4 +187,4 @@
     watching = by_name[second].presence
     await until(lambda: watching.first_live(order, 3) == [second, third])
     assert watching.first_live(order, 1, ("nowhere",)) == []
-    assert watching.first_live(order, 3, condition=lambda beat: False) == []
+    assert watching.first_live(order, 3, condition=lambda heartbeat: False) == []
--- a/tests/presence/test_seen.py
+++ b/tests/presence/test_seen.py
@@ -1,4 +1,4 @@
-"""What the heartbeats of all hosts told last."""
+"""The newest heartbeat of each host."""
 
 import msgspec
 import pytest
@@ -13,52 +13,54 @@
     return SeenHosts(hand_clock)
 
 
-def beat(seen, host, lifetime="one", count=1, version=1, **more):
+def record_heartbeat(seen, host, lifetime="one", count=1, version=1, **more):
     value = msgspec.json.encode(Heartbeat(lifetime, count, **more))
-    seen.take(Row(RowKey("hosts", "", host), version, value))
+    seen.apply_row(Row(RowKey("hosts", "", host), version, value))
 
 
-def test_the_newest_heartbeat_counts(seen, hand_clock):
-    beat(seen, "a", count=1)
+def test_the_newest_heartbeat_replaces_earlier_ones(seen, hand_clock):
+    record_heartbeat(seen, "a", count=1)
     hand_clock.advance(2.0)
-    beat(seen, "a", count=2, version=7)
-    assert seen["a"].beat.count == 2
-    assert (seen["a"].at, seen["a"].version) == (2.0, 7)
+    record_heartbeat(seen, "a", count=2, version=7)
+    assert seen["a"].heartbeat.count == 2
+    assert (seen["a"].seen_at, seen["a"].version) == (2.0, 7)
 
 
-def test_a_late_heartbeat_of_an_ended_run_is_passed_over(seen):
-    beat(seen, "a", "one")
-    beat(seen, "a", "two")
-    beat(seen, "a", "one", count=9)
-    assert seen["a"].beat.lifetime == "two"
+def test_a_late_heartbeat_of_an_ended_run_is_ignored(seen):
+    record_heartbeat(seen, "a", "one")
+    record_heartbeat(seen, "a", "two")
+    record_heartbeat(seen, "a", "one", count=9)
+    assert seen["a"].heartbeat.lifetime == "two"
 
 
-def test_a_host_whose_row_is_gone_is_not_known(seen):
-    beat(seen, "a")
-    seen.drop(RowKey("hosts", "", "a"))
+def test_a_host_whose_row_was_removed_is_not_known(seen):
+    record_heartbeat(seen, "a")
+    seen.remove_row(RowKey("hosts", "", "a"))
     assert (len(seen), seen.get("a")) == (0, None)
 
 
 @pytest.mark.parametrize(
     ("silent_s", "is_heard"), [(0.5, True), (3.0, False), (14.0, False), (20.0, True)]
 )
-def test_a_host_that_may_come_back_is_waited_for(seen, hand_clock, silent_s, is_heard):
-    beat(seen, "a")
-    beat(seen, "b")
+def test_a_silent_host_is_expected_to_return_for_a_limited_time(
+    seen, hand_clock, silent_s, is_heard
+):
+    record_heartbeat(seen, "a")
+    record_heartbeat(seen, "b")
     hand_clock.advance(silent_s)
-    beat(seen, "c")
+    record_heartbeat(seen, "c")
     assert seen.is_everyone_heard("a", 2.0, 15.0) is is_heard
     hand_clock.advance(100.0)
     assert seen.is_everyone_heard("a", 2.0, 15.0)
 
 
-def test_the_host_that_asks_does_not_wait_for_itself(seen, hand_clock):
-    beat(seen, "a")
+def test_the_asking_host_is_left_out(seen, hand_clock):
+    record_heartbeat(seen, "a")
     hand_clock.advance(5.0)
     assert seen.is_everyone_heard("a", 2.0, 15.0)
 
 
-def test_hosts_that_say_nothing_of_their_clocks_are_left_out(seen):
-    beat(seen, "a", wall_ahead_s=1.5)
-    beat(seen, "b")
+def test_hosts_that_publish_no_clock_offset_are_left_out(seen):
+    record_heartbeat(seen, "a", wall_ahead_s=1.5)
+    record_heartbeat(seen, "b")
     assert seen.wall_ahead() == [1.5]
--- a/tests/presence/test_sending.py
+++ b/tests/presence/test_sending.py
@@ -1,4 +1,4 @@
-"""Heartbeats are written in time, whatever becomes of the answers."""
+"""Heartbeats are written in time even if answers are late, lost or negative."""
 
 import asyncio
 import time
@@ -8,26 +8,30 @@
 import pytest
 
 from bankrudder.platform._store import PlatformStore
-from bankrudder.presence._sending import MAX_UNANSWERED, HeartbeatSender, Rhythm
+from bankrudder.presence._sending import (
+    MAX_UNANSWERED,
+    HeartbeatSchedule,
+    HeartbeatSender,
+)
 from bankrudder.presence._values import HOSTS_TABLE, Heartbeat, Lifetime
 from bankrudder.world import HostId, SystemClock
 from outside.site import until
 from outside.store import GateMode
 
 HOST = HostId("a")
-LONG = Rhythm(interval_s=60.0, is_resent=False)
+LONG_SCHEDULE = HeartbeatSchedule(interval_s=60.0, should_resend=False)
 
 
-def compose(count):
+def make_heartbeat(count):
     return Heartbeat(Lifetime("life"), count)
 
 
-def sender_of(store, rhythm):
-    return HeartbeatSender(store, HOST, SystemClock(), compose, lambda: rhythm)
+def make_sender(store, schedule):
+    return HeartbeatSender(store, HOST, SystemClock(), make_heartbeat, lambda: schedule)
 
 
 @asynccontextmanager
-async def running(sender):
+async def run_sender(sender):
     task = asyncio.ensure_future(sender.run())
     yield sender
     task.cancel()
@@ -35,25 +39,27 @@
         await task
 
 
-def written(rows):
-    """Return the number of the heartbeat in the row, zero if there is none."""
+def stored_count(rows):
+    """Return the number of the heartbeat in the row, 0 if there is none."""
     _, value = rows.rows.get((HOSTS_TABLE, "", HOST), (0, b""))
     return msgspec.json.decode(value, type=Heartbeat).count if value else 0
 
 
-async def test_a_change_is_told_at_once(rows, store):
-    async with running(sender_of(store, LONG)) as sender:
-        await until(lambda: written(rows) == 1)
-        sender.hurry()
-        await until(lambda: written(rows) == 2)
+async def test_a_requested_heartbeat_is_sent_at_once(rows, store):
+    async with run_sender(make_sender(store, LONG_SCHEDULE)) as sender:
+        await until(lambda: stored_count(rows) == 1)
+        sender.request_send()
+        await until(lambda: stored_count(rows) == 2)
 
 
-async def test_heartbeats_follow_each_other_by_the_interval(rows, store):
-    async with running(sender_of(store, Rhythm(interval_s=0.1, is_resent=False))):
-        await until(lambda: written(rows) >= 5, 5.0)
+async def test_heartbeats_are_sent_at_the_interval(rows, store):
+    async with run_sender(
+        make_sender(store, HeartbeatSchedule(interval_s=0.1, should_resend=False))
+    ):
+        await until(lambda: stored_count(rows) >= 5, 5.0)
 
 
-class StuckStore:
+class UnansweringStore:
     """A store whose commits are never answered."""
 
     def __init__(self):
@@ -65,44 +71,46 @@
 
 
 @pytest.mark.parametrize(
-    ("is_resent", "sent"), [(True, MAX_UNANSWERED), (False, 1)], ids=["busy", "idle"]
+    ("should_resend", "sent"),
+    [(True, MAX_UNANSWERED), (False, 1)],
+    ids=["busy", "idle"],
 )
-async def test_only_a_busy_host_sends_again_without_an_answer(is_resent, sent):
-    store = StuckStore()
-    rhythm = Rhythm(interval_s=60.0, is_resent=is_resent)
-    async with running(sender_of(store, rhythm)):
+async def test_only_a_busy_host_resends_without_an_answer(should_resend, sent):
+    store = UnansweringStore()
+    schedule = HeartbeatSchedule(interval_s=60.0, should_resend=should_resend)
+    async with run_sender(make_sender(store, schedule)):
         await until(lambda: store.commits >= sent, 5.0)
         await asyncio.sleep(0.5)
         assert store.commits == sent
 
 
-async def test_a_heartbeat_that_was_not_written_is_soon_sent_again(gate, rows, store):
+async def test_a_heartbeat_that_was_not_written_is_resent_early(gate, rows, store):
     gate.mode = GateMode.BUSY
-    async with running(sender_of(store, LONG)) as sender:
-        await until(lambda: sender.fails)
+    async with run_sender(make_sender(store, LONG_SCHEDULE)) as sender:
+        await until(lambda: sender.is_failing)
         gate.mode = GateMode.OPEN
-        await until(lambda: not sender.fails, 5.0)
-        assert written(rows) > 0
+        await until(lambda: not sender.is_failing, 5.0)
+        assert stored_count(rows) > 0
 
 
-async def test_a_heartbeat_whose_reply_hangs_is_soon_sent_again(gate, rows, store):
-    # The failure shows only while the host, idle for long, waits for the next one.
+async def test_a_heartbeat_whose_reply_fails_late_is_resent_early(gate, rows, store):
+    # The failure becomes known only while the idle host waits to send the next one.
     gate.hang_replies = True
-    async with running(sender_of(store, LONG)) as sender:
-        await until(lambda: written(rows) == 1)
+    async with run_sender(make_sender(store, LONG_SCHEDULE)) as sender:
+        await until(lambda: stored_count(rows) == 1)
         gate.hang_replies = False
-        await until(lambda: sender.fails, 3.0)
-        await until(lambda: written(rows) == 2, 3.0)
-        await until(lambda: not sender.fails)
+        await until(lambda: sender.is_failing, 3.0)
+        await until(lambda: stored_count(rows) == 2, 3.0)
+        await until(lambda: not sender.is_failing)
 
 
-async def test_heartbeats_that_are_not_written_come_no_more_often_than_usual(gate):
+async def test_failing_heartbeats_are_not_sent_more_often_than_usual(gate):
     store = PlatformStore.from_config(gate.address)
     gate.mode = GateMode.BUSY
-    rhythm = Rhythm(interval_s=1.0, is_resent=False)
+    schedule = HeartbeatSchedule(interval_s=1.0, should_resend=False)
     try:
-        async with running(sender_of(store, rhythm)) as sender:
-            # One at once, one after half a second, and then one each second.
+        async with run_sender(make_sender(store, schedule)) as sender:
+            # The first is sent at once, the second after 0.5 s, then one every second.
             await until(lambda: sender.count >= 3, 5.0)
             started = time.monotonic()
             await until(lambda: sender.count >= 5, 5.0)
@@ -111,20 +119,20 @@
         await store.close()
 
 
-async def test_a_run_is_announced_once_the_store_answered(gate, store):
-    sender = sender_of(store, LONG)
+async def test_a_sender_is_answered_once_the_store_replies(gate, store):
+    sender = make_sender(store, LONG_SCHEDULE)
     assert not sender.was_answered
     gate.mode = GateMode.BUSY
     await sender.send()
     assert sender.was_answered
 
 
-async def test_writes_that_fail_are_known_until_they_work_again(gate, store):
-    sender = sender_of(store, LONG)
+async def test_a_sender_is_failing_until_a_write_succeeds(gate, store):
+    sender = make_sender(store, LONG_SCHEDULE)
     gate.mode = GateMode.BUSY
     await sender.send()
-    assert sender.fails
+    assert sender.is_failing
     gate.mode = GateMode.OPEN
     await sender.send()
-    assert not sender.fails
-    assert sender.works_since > 0
+    assert not sender.is_failing
+    assert sender.recovered_at > 0
