--- a/src/bankrudder/usage/_counting.py
+++ b/src/bankrudder/usage/_counting.py
@@ -33,7 +33,7 @@
         """
         if workspace == NO_WORKSPACE:
             return
-        window = self._terms.window_at(self._time.at(began_at))
+        window = self._terms.window_at(self._time.time_at(began_at))
         self._counts.setdefault(window, Counter())[workspace] += 1
         self._unsaved_windows.add(window)
 
--- a/src/bankrudder/usage/_time.py
+++ b/src/bankrudder/usage/_time.py
@@ -57,7 +57,7 @@
         middle = (sent_at + now) / 2
         self._comparisons.append(_ClockComparison(store_time_s - middle, now - sent_at))
 
-    def at(self, monotonic_s: float) -> float | None:
+    def time_at(self, monotonic_s: float) -> float | None:
         """Return the store's time at a monotonic time of this host.
 
         Returns
@@ -78,7 +78,7 @@
         float or None
             None before the first clock comparison.
         """
-        now = self.at(self._clock.monotonic())
+        now = self.time_at(self._clock.monotonic())
         if now is None:
             return None
         offset_s = self._clock.wall() - now
@@ -111,15 +111,15 @@
 
     def now(self) -> float:
         """Return the seconds since the Unix epoch."""
-        return self.at(self._clock.monotonic())
+        return self.time_at(self._clock.monotonic())
 
-    def at(self, monotonic_s: float) -> float:
+    def time_at(self, monotonic_s: float) -> float:
         """Return the agreed time of day at a monotonic time of this host.
 
         Until an offset to the store's clock is known, this host's own wall clock is
         used.
         """
-        store_time = self._store.at(monotonic_s)
+        store_time = self._store.time_at(monotonic_s)
         ahead = self._wall_ahead_values()
         if store_time is None or not ahead:
             return self._clock.wall() - (self._clock.monotonic() - monotonic_s)
--- a/tests/usage/test_time.py
+++ b/tests/usage/test_time.py
@@ -28,7 +28,7 @@
 
 
 def test_the_store_clock_is_derived_from_an_answer(hand_clock, store):
-    assert store.at(hand_clock.monotonic()) == pytest.approx(
+    assert store.time_at(hand_clock.monotonic()) == pytest.approx(
         hand_clock.monotonic() + STORE_AHEAD_S
     )
 
@@ -36,7 +36,7 @@
 def test_the_store_clock_is_unknown_before_the_first_answer(hand_clock):
     store = StoreClock(hand_clock)
     store.note(0.0, 0.0)
-    assert store.at(0.0) is None
+    assert store.time_at(0.0) is None
     assert store.wall_ahead_s() is None
 
 
@@ -44,14 +44,14 @@
     sent_at = hand_clock.monotonic()
     hand_clock.advance(0.8)
     store.note(sent_at, sent_at + STORE_AHEAD_S)
-    assert store.at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
+    assert store.time_at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
 
 
 def test_a_host_without_a_store_answer_uses_its_own_clock(hand_clock):
     time = TrueTime(StoreClock(hand_clock), list, hand_clock)
     hand_clock.advance(3.0)
     assert time.now() == START_WALL_S + 3.0
-    assert time.at(1.0) == START_WALL_S + 1.0
+    assert time.time_at(1.0) == START_WALL_S + 1.0
 
 
 @pytest.mark.parametrize("seed", range(20))
