--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -2,7 +2,7 @@
 
 A host is considered dead when its row has not changed for some time on the observer's
 own monotonic clock, or when a later run of the host has written the row. Correctness
-does not depend on this: whoever acts for a dead host uses a conditional write.
+does not depend on the verdict: whoever acts for a dead host uses a conditional write.
 """
 
 import asyncio
@@ -209,7 +209,7 @@
         return (
             not heartbeat.is_leaving
             and self.is_in(host, data_centres)
-            and self._has_recent_heartbeat(host)
+            and self._is_considered_alive(host)
         )
 
     def is_in(self, host: HostId, data_centres: Collection[DataCentreName]) -> bool:
@@ -278,7 +278,7 @@
         if (
             seen is None
             or seen.heartbeat.is_leaving
-            or not self._has_recent_heartbeat(host)
+            or not self._is_considered_alive(host)
         ):
             return False
         if host == self._host:
@@ -295,7 +295,7 @@
         if seen is None:
             # Before the first complete read, a missing row says nothing.
             return not self._follower.is_loaded
-        return seen.heartbeat.lifetime == lifetime and self._has_recent_heartbeat(host)
+        return seen.heartbeat.lifetime == lifetime and self._is_considered_alive(host)
 
     @property
     def read_version(self) -> RowVersion:
@@ -359,7 +359,7 @@
             self._wall_ahead_s(),
         )
 
-    def _has_recent_heartbeat(self, host: HostId) -> bool:
+    def _is_considered_alive(self, host: HostId) -> bool:
         if host == self._host:
             return True
         if self._sender.is_failing:
--- a/tests/usage/test_reporting.py
+++ b/tests/usage/test_reporting.py
@@ -24,7 +24,7 @@
 CALLS_PER_S = 1e6
 
 
-class HeldLease:
+class FakeLease:
     """A lease whose holder is chosen by the test."""
 
     def __init__(self, fence=0):
@@ -45,17 +45,17 @@
     def __init__(self):
         self.outcomes = []
         self.calls = []
-        self.taken = {}
+        self.accepted = {}
 
     async def call(self, call, ticket):
         self.calls.append((call.window, ticket.holder, ticket.fence))
         outcome = self.outcomes.pop(0) if self.outcomes else DutyOutcome.DONE
         if outcome in (DutyOutcome.DONE, "lost"):
-            assert self.taken.setdefault(call.window, call.counts) == call.counts
+            assert self.accepted.setdefault(call.window, call.counts) == call.counts
         return DutyOutcome.UNKNOWN if outcome == "lost" else outcome
 
 
-class Reporting:
+class ReportingHosts:
     """Hosts that can hold the duty and share one store and one platform."""
 
     def __init__(self, store):
@@ -68,7 +68,7 @@
         self.first = TERMS.window_at(self.clock.wall())
 
     def host(self, name):
-        lease = self.leases[name] = HeldLease()
+        lease = self.leases[name] = FakeLease()
         duty = Duty("usage", self.platform, lease, name, CALLS_PER_S, self.clock)
         time = TrueTime(StoreClock(self.clock), list, self.clock)
         self.reporters[name] = UsageReporter(
@@ -80,7 +80,7 @@
             lambda _: self.is_everyone_heard,
         )
 
-    def give(self, name, fence):
+    def set_holder(self, name, fence):
         """Make one host the only holder of the duty."""
         for lease in self.leases.values():
             lease.fence = 0
@@ -95,10 +95,10 @@
 
 @pytest.fixture
 def reporting(store):
-    reporting = Reporting(store)
+    reporting = ReportingHosts(store)
     for name in ("a", "b"):
         reporting.host(name)
-    reporting.give("a", 5)
+    reporting.set_holder("a", 5)
     return reporting
 
 
@@ -109,7 +109,7 @@
     await reporting.count(first, "v.1", north=1)
     reporting.clock.advance(14.1)
     await reporting.look("a")
-    assert reporting.platform.taken == {
+    assert reporting.platform.accepted == {
         first: {"north": 4, "south": 1},
         first + 1: {},
     }
@@ -133,7 +133,7 @@
     await reporting.count(first, north=2)
     reporting.clock.advance(0.6)
     await reporting.look("a")
-    assert reporting.platform.taken == {first: {"north": 2}}
+    assert reporting.platform.accepted == {first: {"north": 2}}
 
 
 OUTCOMES = [
@@ -155,16 +155,16 @@
     await reporting.look("a")
     # Counts that arrive late do not change a stored report.
     await reporting.count(first, "late.1", north=50)
-    reporting.give("b", 9)
+    reporting.set_holder("b", 9)
     reporting.platform.outcomes = [outcomes[1]]
     await reporting.look("b")
     reporting.clock.advance(1.0)
     await reporting.look("b")
-    reporting.give("a", 12)
+    reporting.set_holder("a", 12)
     await reporting.look("a")
-    taken = reporting.platform.taken
-    assert taken[first] == {"north": 3}
-    assert sorted(taken) == list(range(first, max(taken) + 1))
+    accepted = reporting.platform.accepted
+    assert accepted[first] == {"north": 3}
+    assert sorted(accepted) == list(range(first, max(accepted) + 1))
     fences = [fence for _, _, fence in reporting.platform.calls]
     assert fences == sorted(fences)
 
@@ -174,7 +174,7 @@
     reporting.clock.advance(20.0)
     await reporting.look("a")
     before = len(reporting.platform.calls)
-    reporting.give("b", 9)
+    reporting.set_holder("b", 9)
     await reporting.look("b")
     assert len(reporting.platform.calls) == before
 
@@ -184,10 +184,10 @@
     await reporting.look("a")
     reporting.clock.advance(10.0)
     await reporting.look("a")
-    reporting.give("b", 9)
+    reporting.set_holder("b", 9)
     reporting.clock.advance(10.0)
     await reporting.look("b")
-    reporting.give("a", 12)
+    reporting.set_holder("a", 12)
     await reporting.count(first + 3, north=1)
     reporting.clock.advance(5.0)
     await reporting.look("a")
@@ -199,8 +199,8 @@
     await reporting.count(reporting.first - 2, north=1)
     reporting.clock.advance(10.0)
     await reporting.look("a")
-    assert reporting.platform.taken[reporting.first - 2] == {"north": 1}
-    assert min(reporting.platform.taken) == reporting.first - 2
+    assert reporting.platform.accepted[reporting.first - 2] == {"north": 1}
+    assert min(reporting.platform.accepted) == reporting.first - 2
 
 
 async def test_counts_that_arrive_after_a_first_holder_started_are_reported(reporting):
@@ -210,7 +210,7 @@
     await reporting.count(first, north=3)
     reporting.clock.advance(9.0)
     await reporting.look("a")
-    assert reporting.platform.taken == {first: {"north": 3}, first + 1: {}}
+    assert reporting.platform.accepted == {first: {"north": 3}, first + 1: {}}
 
 
 async def test_windows_before_the_first_request_are_not_reported(reporting):
@@ -218,7 +218,7 @@
     await reporting.look("a")
     reporting.clock.advance(20.0)
     await reporting.look("a")
-    assert min(reporting.platform.taken) == first
+    assert min(reporting.platform.accepted) == first
 
 
 async def test_reports_delayed_by_a_platform_outage_are_sent_after_it(reporting):
@@ -228,9 +228,9 @@
     for _ in range(3):
         reporting.clock.advance(20.0)
         await reporting.look("a")
-    assert reporting.platform.taken == {}
+    assert reporting.platform.accepted == {}
     await reporting.look("a")
-    assert sorted(reporting.platform.taken)[:11] == list(range(first, first + 11))
+    assert sorted(reporting.platform.accepted)[:11] == list(range(first, first + 11))
 
 
 async def test_a_rejected_report_does_not_block_later_windows(reporting):
@@ -239,8 +239,8 @@
     reporting.platform.outcomes = [DutyOutcome.REJECTED]
     reporting.clock.advance(20.0)
     await reporting.look("a")
-    assert first not in reporting.platform.taken
-    assert first + 1 in reporting.platform.taken
+    assert first not in reporting.platform.accepted
+    assert first + 1 in reporting.platform.accepted
     kept = {each.window: each.row for each in await reporting.rows.reports()}
     assert kept[first].is_rejected
     assert not kept[first + 1].is_rejected
@@ -257,7 +257,7 @@
     assert reporting.platform.calls == []
     gate.mode = GateMode.OPEN
     await reporting.look("a")
-    assert sorted(reporting.platform.taken)[:3] == [first, first + 1, first + 2]
+    assert sorted(reporting.platform.accepted)[:3] == [first, first + 1, first + 2]
 
 
 async def store_is_busy(*_, **__):
--- a/tests/usage/test_time.py
+++ b/tests/usage/test_time.py
@@ -55,21 +55,21 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-@pytest.mark.parametrize("off_s", [6.0, -6.0])
-def test_up_to_half_of_the_clocks_may_be_wrong(seed, off_s):
+@pytest.mark.parametrize("error_s", [6.0, -6.0])
+def test_up_to_half_of_the_clocks_may_be_wrong(seed, error_s):
     rng = random.Random(seed)
-    true = HandClock()
+    true_clock = HandClock()
     hosts = [HandClock(wall=START_WALL_S + rng.uniform(-0.01, 0.01)) for _ in range(19)]
     stores = [StoreClock(each) for each in hosts]
     for clock, store in zip(hosts, stores, strict=True):
         record_answer_after(clock, store, rng.uniform(0.002, 0.02))
     for clock in rng.sample(hosts, 9):
-        clock._wall += off_s
+        clock._wall += error_s
     ahead = [store.wall_ahead_s() for store in stores]
     for clock, store in zip(hosts, stores, strict=True):
         time = TrueTime(store, lambda: ahead, clock)
         moment = clock.monotonic()
-        expected = true.wall() + moment
+        expected = true_clock.wall() + moment
         assert time.now() == pytest.approx(expected, abs=0.03)
 
 
