--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from bankrudder.batches._values import Batch, BatchId, Owner
-from bankrudder.presence import Lifetime, Presence, draw
+from bankrudder.presence import Lifetime, Presence, rendezvous_hash
 from bankrudder.routing import ModelName
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId, ModelVersion
@@ -135,7 +135,9 @@
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
-            if not self._presence.is_in(self._presence.host, owner.data_centres):
+            if not self._presence.is_in_data_centres(
+                self._presence.host, owner.data_centres
+            ):
                 continue
             if now - since >= self._rank(batch_id, owner) * RANK_DELAY_S:
                 yield batch_id, owner, version
@@ -164,7 +166,10 @@
         """Return this host's place among those that would take a batch over."""
         hosts = sorted(
             self._presence.live_hosts(owner.data_centres),
-            key=lambda host: (-self._presence.room_of(host), draw(batch_id, host)),
+            key=lambda host: (
+                -self._presence.capacity_of(host),
+                rendezvous_hash(batch_id, host),
+            ),
         )
         if self._presence.host not in hosts:
             return MAX_RANK
@@ -176,9 +181,9 @@
         return max(
             hosts,
             key=lambda host: (
-                self._presence.room_of(host),
+                self._presence.capacity_of(host),
                 host not in taken,
-                draw(model, host),
+                rendezvous_hash(model, host),
             ),
             default=None,
         )
--- a/src/bankrudder/duties/_duty.py
+++ b/src/bankrudder/duties/_duty.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from bankrudder.duties._port import DutyApi, DutyCall, DutyOutcome, DutyTicket
+from bankrudder.duties._port import DutyApi, DutyCall, DutyGrant, DutyOutcome
 from bankrudder.leases import Lease
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId
@@ -85,10 +85,10 @@
             return DutyOutcome.NOT_ON_DUTY
         timeout_s = min(MAX_CALL_TIMEOUT_S, left_s)
         fence = self._lease.fence
-        ticket = DutyTicket(
+        grant = DutyGrant(
             self._host, fence, timeout_s, lambda: self._is_held_with(fence)
         )
-        return await self._api.call(call, ticket)
+        return await self._api.call(call, grant)
 
     def _is_held_with(self, fence: RowVersion) -> bool:
         return self._lease.is_valid and self._lease.fence == fence
--- a/src/bankrudder/duties/_port.py
+++ b/src/bankrudder/duties/_port.py
@@ -14,7 +14,7 @@
 """A message to the platform that only the holder of a duty may send."""
 
 
-class DutyTicket(msgspec.Struct, frozen=True):
+class DutyGrant(msgspec.Struct, frozen=True):
     """Holder, fencing token and time limit of a call.
 
     Attributes
@@ -54,6 +54,6 @@
 class DutyApi(Protocol):
     """Client for the platform's duty calls. It does not retry."""
 
-    async def call(self, call: DutyCall, ticket: DutyTicket) -> DutyOutcome:
+    async def call(self, call: DutyCall, grant: DutyGrant) -> DutyOutcome:
         """Make a call."""
         ...
--- a/src/bankrudder/feeds/_readers.py
+++ b/src/bankrudder/feeds/_readers.py
@@ -12,7 +12,7 @@
 from bankrudder.feeds._messages import FeedMessage
 from bankrudder.feeds._publisher import FeedPublisher
 from bankrudder.feeds._store import FeedRole, RelayedStore
-from bankrudder.presence import DrawnOrder, Presence
+from bankrudder.presence import Presence, RendezvousOrder
 from bankrudder.world import Address, DataCentreName, HostId
 
 if TYPE_CHECKING:
@@ -52,7 +52,7 @@
         self._cache = cache
         self._presence = presence
         self._data_centre = data_centre
-        self._order = DrawnOrder(data_centre)
+        self._order = RendezvousOrder(data_centre)
         self._address = address
         self._min_hosts = min_hosts
         self._make_publisher = make_publisher
--- a/src/bankrudder/leases/_lease.py
+++ b/src/bankrudder/leases/_lease.py
@@ -50,7 +50,7 @@
 available again, so a lease that lapsed in an outage is acquired again a tenth of a
 second after the outage."""
 
-CANDIDATES = 3
+CANDIDATE_COUNT = 3
 """Number of hosts that watch a lease. More would only add reads of the store."""
 
 _log = structlog.get_logger("leases")
--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -31,7 +31,7 @@
 )
 from bankrudder.routing import Route, RoutingTable
 from bankrudder.store import NotSettledError, StoreUnavailableError
-from bankrudder.workspaces import Admitted, ApiKey, Denial, Refusal
+from bankrudder.workspaces import Admitted, ApiKey, Denial, DenialReason
 from bankrudder.world import NO_WORKSPACE, Clock, SampleId, WorkspaceName
 
 STORE_RETRY_AFTER_S = 0.5
@@ -110,7 +110,7 @@
     ) -> Admitted | Unauthorized | NotRun:
         """Return whose request it is, or why it may not run."""
         decision = self._decide(key, is_public)
-        if decision == Denial(Refusal.UNKNOWN_KEY):
+        if decision == Denial(DenialReason.UNKNOWN_KEY):
             if not await self._latest_keys.look():
                 return NotRun(RejectReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_S)
             decision = self._decide(key, is_public)
--- a/src/bankrudder/node/_latest_keys.py
+++ b/src/bankrudder/node/_latest_keys.py
@@ -7,7 +7,7 @@
 import structlog
 
 from bankrudder.store import ReadPace, StoreUnavailableError
-from bankrudder.workspaces import UnknownKeyRefresh
+from bankrudder.workspaces import UnknownKeyRefreshLimiter
 from bankrudder.world import Clock
 
 LOOKS_SHARE = 0.05
@@ -37,7 +37,9 @@
         When looks may begin.
     """
 
-    def __init__(self, refresh: Callable[[], Awaitable[None]], pace: UnknownKeyRefresh):
+    def __init__(
+        self, refresh: Callable[[], Awaitable[None]], pace: UnknownKeyRefreshLimiter
+    ):
         self._refresh = refresh
         self._pace = pace
         self._looking: asyncio.Task[bool] | None = None
@@ -49,7 +51,7 @@
     ) -> Self:
         """Make one that shares the store's reads with the other hosts."""
         pause_s = pace.pause(LOOKS_SHARE, LOOKS_PAUSE_S)
-        return cls(refresh, UnknownKeyRefresh(pause_s, clock))
+        return cls(refresh, UnknownKeyRefreshLimiter(pause_s, clock))
 
     async def look(self) -> bool:
         """Wait for a look; return whether the configuration in force is the newest.
--- a/src/bankrudder/node/_leases.py
+++ b/src/bankrudder/node/_leases.py
@@ -3,9 +3,9 @@
 import asyncio
 from collections.abc import Callable
 
-from bankrudder.leases import CANDIDATES, Lease
+from bankrudder.leases import CANDIDATE_COUNT, Lease
 from bankrudder.node._settings import NodeSettings
-from bankrudder.presence import DrawnOrder, Lifetime, Presence
+from bankrudder.presence import Lifetime, Presence, RendezvousOrder
 from bankrudder.store import Store
 from bankrudder.world import Clock
 
@@ -32,10 +32,12 @@
         self, name: str, on_change: Callable[[bool], None] = lambda _: None
     ) -> Lease:
         """Make the lease on a duty."""
-        order = DrawnOrder(name)
+        order = RendezvousOrder(name)
 
         def is_candidate() -> bool:
-            return self._settings.host in self._presence.duty_hosts(order, CANDIDATES)
+            return self._settings.host in self._presence.duty_hosts(
+                order, CANDIDATE_COUNT
+            )
 
         lease = Lease(
             self._store,
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -211,7 +211,7 @@
             began + NOTICE_S,
         )
         if self._parts.usage is not None:
-            await self._parts.usage.keeper.keep()
+            await self._parts.usage.writer.write_unsaved()
         for task in self._tasks:
             task.cancel()
         await self._callers.stop()
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_parts.py
@@ -63,7 +63,7 @@
     RecoveringStore,
     TableFollower,
 )
-from bankrudder.usage import StoreClock, TrueTime
+from bankrudder.usage import FleetTime, StoreClock
 from bankrudder.world import Clock
 
 ORDERS_LEASE = "orders"
@@ -106,7 +106,7 @@
             settings, self.store, self.lifetime, self.presence, clock
         )
         self.usage = self._make_usage(adapter.duties)
-        meter = self.usage.book if self.usage is not None else None
+        meter = self.usage.counter if self.usage is not None else None
         self.crashes = self._make_crash_guard()
         self.forwarder = Forwarder(
             self.directory,
@@ -212,7 +212,7 @@
             settings.rpc.address if settings.rpc is not None else NO_ADDRESS,
             settings.feeds.address if settings.feeds is not None else NO_ADDRESS,
             self.pace,
-            self._store_clock.note,
+            self._store_clock.record_store_time,
             self._wall_ahead_s,
         )
 
@@ -227,7 +227,7 @@
         duties = self._settings.duties
         if api is None or duties is None or duties.usage is None:
             return None
-        time = TrueTime(self._store_clock, self.presence.seen.wall_ahead, self._clock)
+        time = FleetTime(self._store_clock, self.presence.seen.wall_ahead, self._clock)
         return UsageParts(
             self._settings,
             duties,
--- a/src/bankrudder/node/_usage.py
+++ b/src/bankrudder/node/_usage.py
@@ -10,12 +10,12 @@
 from bankrudder.store import Store
 from bankrudder.usage import (
     REPORT_PAUSE_S,
-    TrueTime,
-    UsageBook,
-    UsageKeeper,
+    FleetTime,
+    ReportSchedule,
+    UsageCounter,
     UsageReporter,
     UsageRows,
-    UsageTerms,
+    UsageWriter,
 )
 from bankrudder.world import Clock
 
@@ -35,28 +35,28 @@
         lifetime: Lifetime,
         presence: Presence,
         store: Store,
-        time: TrueTime,
+        time: FleetTime,
         clock: Clock,
     ):
-        terms = UsageTerms(
+        schedule = ReportSchedule(
             timedelta(seconds=usage.window_s), timedelta(seconds=usage.late_s)
         )
-        forgotten_s = usage.window_s + usage.late_s
+        max_silence_s = usage.window_s + usage.late_s
         rows = UsageRows(store, clock)
         self.lease = lease
-        self.book = UsageBook(terms, time)
-        self.keeper = UsageKeeper(
-            self.book, rows, settings.host, lifetime, presence.host_count
+        self.counter = UsageCounter(schedule, time)
+        self.writer = UsageWriter(
+            self.counter, rows, settings.host, lifetime, presence.host_count
         )
         duty = Duty(USAGE_LEASE, api, lease, settings.host, duties.calls_per_s, clock)
         self._reporter = UsageReporter(
             duty,
             rows,
-            terms,
+            schedule,
             time,
             lambda: lease.fence,
-            lambda seconds: presence.seen.is_everyone_heard(
-                settings.host, seconds, forgotten_s
+            lambda seconds: presence.seen.has_heard_all_hosts(
+                settings.host, seconds, max_silence_s
             ),
         )
 
@@ -64,7 +64,7 @@
         """Return what runs all the time, by its name."""
         return {
             "usage lease": self.lease.run,
-            "usage counts": self.keeper.run,
+            "usage counts": self.writer.run,
             "usage reports": self._report,
         }
 
@@ -73,5 +73,5 @@
             "reports of usage",
             lambda: self.lease.is_valid,
             REPORT_PAUSE_S,
-            self._reporter.look,
+            self._reporter.report_due_windows,
         )
--- a/src/bankrudder/platform/_duty_api.py
+++ b/src/bankrudder/platform/_duty_api.py
@@ -9,8 +9,8 @@
 
 from bankrudder.duties import (
     DutyCall,
+    DutyGrant,
     DutyOutcome,
-    DutyTicket,
     EndpointOrder,
     UsageReport,
 )
@@ -39,12 +39,12 @@
         if self._session is not None:
             await self._session.close()
 
-    async def call(self, call: DutyCall, ticket: DutyTicket) -> DutyOutcome:
+    async def call(self, call: DutyCall, grant: DutyGrant) -> DutyOutcome:
         """Make a call."""
         path, body = _wire(call)
-        held = _HeldBody(body, ticket)
+        held = _HeldBody(body, grant)
         timeout = aiohttp.ClientTimeout(
-            total=ticket.timeout_s, sock_connect=CONNECT_TIMEOUT_S
+            total=grant.timeout_s, sock_connect=CONNECT_TIMEOUT_S
         )
         try:
             async with self._opened().post(
@@ -52,8 +52,8 @@
                 data=held.parts(),
                 headers={
                     "Content-Length": str(len(body)),
-                    names.HOLDER: ticket.holder,
-                    names.FENCE: str(ticket.fence),
+                    names.HOLDER: grant.holder,
+                    names.FENCE: str(grant.fence),
                     "Content-Type": "application/json",
                 },
                 timeout=timeout,
@@ -86,9 +86,9 @@
 class _HeldBody:
     """The body of a call, which is sent only while the duty is held."""
 
-    def __init__(self, body: bytes, ticket: DutyTicket):
+    def __init__(self, body: bytes, grant: DutyGrant):
         self._body = body
-        self._ticket = ticket
+        self._grant = grant
         self.was_withheld = False
 
     async def parts(self) -> AsyncIterator[bytes]:
@@ -99,7 +99,7 @@
         _DutyLostError
             If the duty is not held any more; the connection is then reset.
         """
-        if not self._ticket.is_held():
+        if not self._grant.is_held():
             self.was_withheld = True
             raise _DutyLostError
         yield self._body
--- a/src/bankrudder/presence/__init__.py
+++ b/src/bankrudder/presence/__init__.py
@@ -2,17 +2,17 @@
 
 from bankrudder.presence._cleaning import CLEANING_PAUSE_S, HostCleaner
 from bankrudder.presence._hosts import Presence
-from bankrudder.presence._rendezvous import DrawnOrder, draw
+from bankrudder.presence._rendezvous import RendezvousOrder, rendezvous_hash
 from bankrudder.presence._values import HOSTS_TABLE, NO_ADDRESS, Heartbeat, Lifetime
 
 __all__ = [
     "CLEANING_PAUSE_S",
-    "DrawnOrder",
     "HOSTS_TABLE",
     "Heartbeat",
     "HostCleaner",
     "Lifetime",
     "NO_ADDRESS",
     "Presence",
-    "draw",
+    "RendezvousOrder",
+    "rendezvous_hash",
 ]
--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from itertools import islice
 
-from bankrudder.presence._rendezvous import DrawnOrder
+from bankrudder.presence._rendezvous import RendezvousOrder
 from bankrudder.presence._seen import SeenHosts
 from bankrudder.presence._sending import HeartbeatSchedule, HeartbeatSender
 from bankrudder.presence._values import (
@@ -175,7 +175,7 @@
 
     def first_live(
         self,
-        order: DrawnOrder,
+        order: RendezvousOrder,
         count: int,
         data_centres: Collection[DataCentreName] = (),
         condition: Callable[[Heartbeat], bool] = lambda _: True,
@@ -208,11 +208,13 @@
         # The most expensive check comes last.
         return (
             not heartbeat.is_leaving
-            and self.is_in(host, data_centres)
+            and self.is_in_data_centres(host, data_centres)
             and self._is_considered_alive(host)
         )
 
-    def is_in(self, host: HostId, data_centres: Collection[DataCentreName]) -> bool:
+    def is_in_data_centres(
+        self, host: HostId, data_centres: Collection[DataCentreName]
+    ) -> bool:
         """Whether a host is in one of the data centres; True if none are given."""
         if not data_centres:
             return True
@@ -248,7 +250,7 @@
         """Publish whether this host carries out a duty under a lease."""
         self._holds_lease = holds_lease
 
-    def duty_hosts(self, order: DrawnOrder, count: int) -> list[HostId]:
+    def duty_hosts(self, order: RendezvousOrder, count: int) -> list[HostId]:
         """Return the first live hosts in a rendezvous order for a duty under a lease.
 
         Hosts without batches are preferred, so that the loss of one host does not
@@ -307,7 +309,7 @@
         seen = self._seen.get(host)
         return seen.heartbeat.lifetime if seen is not None else None
 
-    def room_of(self, host: HostId) -> float:
+    def capacity_of(self, host: HostId) -> float:
         """Return a host's capacity in processor cores of the reference speed."""
         seen = self._seen.get(host)
         return seen.heartbeat.room if seen is not None else 0.0
--- a/src/bankrudder/presence/_rendezvous.py
+++ b/src/bankrudder/presence/_rendezvous.py
@@ -10,12 +10,12 @@
 from bankrudder.world import HostId
 
 
-def draw(name: str, host: HostId) -> bytes:
+def rendezvous_hash(name: str, host: HostId) -> bytes:
     """Return the sort key of a host in the order of a name."""
     return hashlib.md5(f"{name}/{host}".encode()).digest()
 
 
-class DrawnOrder:
+class RendezvousOrder:
     """The order of hosts for one name, cached while the set of hosts is the same.
 
     Sorting 195 hosts each time took a tenth of the processor time of an idle host.
@@ -36,5 +36,7 @@
         """
         if hosts != self._hosts:
             self._hosts = frozenset(hosts)
-            self._order = sorted(hosts, key=lambda host: draw(self._name, host))
+            self._order = sorted(
+                hosts, key=lambda host: rendezvous_hash(self._name, host)
+            )
         return self._order
--- a/src/bankrudder/presence/_seen.py
+++ b/src/bankrudder/presence/_seen.py
@@ -66,7 +66,7 @@
         """Return the newest heartbeats of all known hosts."""
         return [each.heartbeat for each in self._seen.values()]
 
-    def is_everyone_heard(
+    def has_heard_all_hosts(
         self, excluded: HostId, seconds: float, max_silence_s: float
     ) -> bool:
         """Whether each host that may still return has sent a recent heartbeat.
--- a/src/bankrudder/relay/_values.py
+++ b/src/bankrudder/relay/_values.py
@@ -6,7 +6,7 @@
 
 from bankrudder.crashes import ContentId, content_id
 from bankrudder.fleet import EndpointId, Generation, Headers, OutgoingRequest
-from bankrudder.workspaces import Refusal
+from bankrudder.workspaces import DenialReason
 from bankrudder.world import NO_WORKSPACE, WorkspaceName
 
 
@@ -131,7 +131,7 @@
 class Unauthorized(msgspec.Struct, frozen=True):
     """The caller shows no key of a workspace, by the newest configuration."""
 
-    reason: Refusal
+    reason: DenialReason
 
 
 class Malformed(msgspec.Struct, frozen=True):
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -7,7 +7,7 @@
 from bankrudder.rpc._status import NodeState, StatusBoard
 from bankrudder.rpc._types import ServicerContext
 from bankrudder.store import told_as_failures
-from bankrudder.usage import UsageLine, UsageRows
+from bankrudder.usage import UsageRows, WindowSummary
 from bankrudder.v1 import bankrudder_pb2 as pb
 from bankrudder.v1 import bankrudder_pb2_grpc as pb_grpc
 from bankrudder.world import Revision
@@ -101,11 +101,13 @@
         self._rpc.operator_of(context)
         most = min(request.windows or USAGE_WINDOWS, MOST_USAGE_WINDOWS)
         with told_as_failures("nothing was changed", RETRY_AFTER_S):
-            lines = await self._usage.lines(most)
-        return pb.UsageReply(windows=[_window_to_proto(line) for line in lines])
+            newest_windows = await self._usage.newest_windows(most)
+        return pb.UsageReply(
+            windows=[_window_to_proto(line) for line in newest_windows]
+        )
 
 
-def _window_to_proto(line: UsageLine) -> pb.UsageWindow:
+def _window_to_proto(line: WindowSummary) -> pb.UsageWindow:
     return pb.UsageWindow(
         window=line.window,
         state=line.state.value,
--- a/src/bankrudder/usage/__init__.py
+++ b/src/bankrudder/usage/__init__.py
@@ -1,26 +1,26 @@
 """Request counts of each workspace, reported to the platform per time window."""
 
-from bankrudder.usage._counting import UsageBook
+from bankrudder.usage._counting import UsageCounter
 from bankrudder.usage._reporting import REPORT_PAUSE_S, UsageReporter
-from bankrudder.usage._storage import UsageKeeper, UsageRows
+from bankrudder.usage._storage import UsageRows, UsageWriter
 from bankrudder.usage._table import (
-    UsageLine,
     WindowState,
-    usage_lines,
+    WindowSummary,
+    summarize_windows,
 )
-from bankrudder.usage._time import StoreClock, TrueTime
-from bankrudder.usage._windows import UsageTerms
+from bankrudder.usage._time import FleetTime, StoreClock
+from bankrudder.usage._windows import ReportSchedule
 
 __all__ = [
+    "FleetTime",
     "REPORT_PAUSE_S",
+    "ReportSchedule",
     "StoreClock",
-    "TrueTime",
-    "UsageBook",
-    "UsageKeeper",
-    "UsageLine",
+    "UsageCounter",
     "UsageReporter",
     "UsageRows",
-    "UsageTerms",
+    "UsageWriter",
     "WindowState",
-    "usage_lines",
+    "WindowSummary",
+    "summarize_windows",
 ]
--- a/src/bankrudder/usage/_counting.py
+++ b/src/bankrudder/usage/_counting.py
@@ -4,16 +4,16 @@
 from collections.abc import Mapping
 
 from bankrudder.duties import UsageWindow
-from bankrudder.usage._time import TrueTime
-from bankrudder.usage._windows import UsageTerms
+from bankrudder.usage._time import FleetTime
+from bankrudder.usage._windows import ReportSchedule
 from bankrudder.world import NO_WORKSPACE, WorkspaceName
 
 
-class UsageBook:
+class UsageCounter:
     """Counts the requests of this host that an endpoint has started to run."""
 
-    def __init__(self, terms: UsageTerms, time: TrueTime):
-        self._terms = terms
+    def __init__(self, schedule: ReportSchedule, time: FleetTime):
+        self._schedule = schedule
         self._time = time
         self._counts: dict[UsageWindow, Counter[WorkspaceName]] = {}
         self._unsaved_windows: set[UsageWindow] = set()
@@ -33,7 +33,7 @@
         """
         if workspace == NO_WORKSPACE:
             return
-        window = self._terms.window_at(self._time.time_at(began_at))
+        window = self._schedule.window_at(self._time.time_at(began_at))
         self._counts.setdefault(window, Counter())[workspace] += 1
         self._unsaved_windows.add(window)
 
@@ -48,7 +48,7 @@
 
     def oldest_reportable(self) -> UsageWindow:
         """Return the oldest window whose report is not yet overdue."""
-        return self._terms.oldest_reportable(self._time.now())
+        return self._schedule.oldest_reportable(self._time.now())
 
     def discard_before(self, window: UsageWindow) -> None:
         """Discard the counts of older windows, except those not yet saved."""
--- a/src/bankrudder/usage/_reporting.py
+++ b/src/bankrudder/usage/_reporting.py
@@ -8,8 +8,8 @@
 from bankrudder.duties import Duty, DutyOutcome, UsageReport, UsageWindow
 from bankrudder.store import NotSettledError, RowVersion, StoreUnavailableError
 from bankrudder.usage._storage import RETAINED_REPORT_COUNT, StoredReport, UsageRows
-from bankrudder.usage._time import TrueTime
-from bankrudder.usage._windows import UsageTerms
+from bankrudder.usage._time import FleetTime
+from bankrudder.usage._windows import ReportSchedule
 
 REPORT_PAUSE_S = 0.25
 """Pause between two checks whether a window can be reported: a twentieth of a usual
@@ -36,7 +36,7 @@
     fence : callable
         Returns the fencing token of the duty. When the token changes, the reports are
         read from the store again, because another host may have sent some meanwhile.
-    is_everyone_heard : callable
+    has_heard_all_hosts : callable
         Returns whether every host has sent a heartbeat within the given number of
         seconds. The counts of a host that has not may still arrive.
     """
@@ -45,17 +45,17 @@
         self,
         duty: Duty,
         rows: UsageRows,
-        terms: UsageTerms,
-        time: TrueTime,
+        schedule: ReportSchedule,
+        time: FleetTime,
         fence: Callable[[], RowVersion],
-        is_everyone_heard: Callable[[float], bool],
+        has_heard_all_hosts: Callable[[float], bool],
     ):
         self._duty = duty
         self._rows = rows
-        self._terms = terms
+        self._schedule = schedule
         self._time = time
         self._fence = fence
-        self._is_everyone_heard = is_everyone_heard
+        self._has_heard_all_hosts = has_heard_all_hosts
         self._loaded_fence: RowVersion | None = None
         self._unsent: list[StoredReport] = []
         self._unrecorded: list[_AnsweredReport] = []
@@ -63,7 +63,7 @@
         self._skip_empty_before = UsageWindow(0)
         self._last_cleanup_window = UsageWindow(0)
 
-    async def look(self) -> None:
+    async def report_due_windows(self) -> None:
         """Report all windows that can be reported now.
 
         Raises
@@ -120,14 +120,16 @@
         """
         now = self._time.now()
         counted_windows = await self._rows.counted_windows()
-        self._next_window = min([*counted_windows, self._terms.oldest_reportable(now)])
-        self._skip_empty_before = self._terms.window_at(now)
+        self._next_window = min(
+            [*counted_windows, self._schedule.oldest_reportable(now)]
+        )
+        self._skip_empty_before = self._schedule.window_at(now)
 
     def _should_report_next(self) -> bool:
-        return self._terms.should_report(
+        return self._schedule.should_report(
             self._next_window,
             self._time.now(),
-            is_everyone_heard=self._is_next_complete(),
+            has_heard_all_hosts=self._is_next_complete(),
         )
 
     def _is_next_complete(self) -> bool:
@@ -135,8 +137,8 @@
 
         If so, no counts of that window can be missing from the store.
         """
-        ended_for_s = self._time.now() - self._terms.end_of(self._next_window)
-        return self._is_everyone_heard(max(ended_for_s, 0.0))
+        ended_for_s = self._time.now() - self._schedule.end_of(self._next_window)
+        return self._has_heard_all_hosts(max(ended_for_s, 0.0))
 
     async def _settle_next(self) -> None:
         counts = await self._rows.counts(self._next_window)
@@ -147,7 +149,7 @@
         self._skip_empty_before = UsageWindow(0)
         is_complete = self._is_next_complete()
         report = await self._rows.settle(self._next_window, counts)
-        after_end_s = self._time.now() - self._terms.end_of(self._next_window)
+        after_end_s = self._time.now() - self._schedule.end_of(self._next_window)
         write_log = _log.info if is_complete else _log.warning
         write_log(
             "usage: window settled"
--- a/src/bankrudder/usage/_storage.py
+++ b/src/bankrudder/usage/_storage.py
@@ -34,8 +34,8 @@
     read_all,
     remove_all,
 )
-from bankrudder.usage._counting import UsageBook
-from bankrudder.usage._table import UsageLine, WindowState, usage_lines
+from bankrudder.usage._counting import UsageCounter
+from bankrudder.usage._table import WindowState, WindowSummary, summarize_windows
 from bankrudder.world import Clock, HostId, WorkspaceName
 
 USAGE_TABLE = "usage"
@@ -137,16 +137,16 @@
         parts = await self._store.parts(USAGE_TABLE)
         return sorted(UsageWindow(int(each)) for each in parts)
 
-    async def lines(self, max_count: int) -> list[UsageLine]:
+    async def newest_windows(self, max_count: int) -> list[WindowSummary]:
         """Return the newest windows in the form shown to operators."""
         reports = await self.reports()
         known = [
-            UsageLine(each.window, _state(each.row), each.row.counts)
+            WindowSummary(each.window, _state(each.row), each.row.counts)
             for each in reports
         ]
         open_windows = (await self.counted_windows())[-max_count:]
         counting = {window: await self.counts(window) for window in open_windows}
-        return usage_lines(known, counting, max_count)
+        return summarize_windows(known, counting, max_count)
 
     async def settle(
         self, window: UsageWindow, counts: dict[WorkspaceName, int]
@@ -216,7 +216,7 @@
         return outcome
 
 
-class UsageKeeper:
+class UsageWriter:
     """Writes the counts of one run of this host to the store as they grow.
 
     Parameters
@@ -227,13 +227,13 @@
 
     def __init__(
         self,
-        book: UsageBook,
+        counter: UsageCounter,
         rows: UsageRows,
         host: HostId,
         lifetime: Lifetime,
         hosts: Callable[[], int],
     ):
-        self._book = book
+        self._counter = counter
         self._rows = rows
         self._writer = f"{host}.{lifetime}"
         self._host_count = hosts
@@ -243,29 +243,29 @@
         """Write counts periodically until cancelled."""
         while True:
             await asyncio.sleep(self.pause_s())
-            await self.keep()
+            await self.write_unsaved()
 
     def pause_s(self) -> float:
         """Return the pause between two writes of this host."""
         return max(MIN_WRITE_PAUSE_S, self._host_count() / FLEET_WRITES_PER_S)
 
-    async def keep(self) -> None:
+    async def write_unsaved(self) -> None:
         """Write all counts that grew since the last write."""
-        unsaved_windows = self._book.unsaved_windows
+        unsaved_windows = self._counter.unsaved_windows
         for window in unsaved_windows:
-            counts = self._book.take_counts(window)
+            counts = self._counter.take_counts(window)
             before = self._versions.get(window, ABSENT)
             try:
                 version = await self._rows.put_counts(
                     window, self._writer, counts, before
                 )
             except (StoreUnavailableError, NotSettledError):
-                self._book.mark_unsaved(window)
+                self._counter.mark_unsaved(window)
                 _log.warning("usage: counts not kept yet", window=window, counts=counts)
                 return
             self._versions[window] = version
         if unsaved_windows:
-            self._discard_before(self._book.oldest_reportable())
+            self._discard_before(self._counter.oldest_reportable())
 
     def _discard_before(self, window: UsageWindow) -> None:
         """Discard the counts and row versions of windows that are past their due time.
@@ -274,7 +274,7 @@
         windows were written, the complete counts of its own window are written again,
         so windows that can still be reported must be retained.
         """
-        self._book.discard_before(window)
+        self._counter.discard_before(window)
         kept = {each: at for each, at in self._versions.items() if each >= window}
         self._versions = kept
 
--- a/src/bankrudder/usage/_table.py
+++ b/src/bankrudder/usage/_table.py
@@ -26,7 +26,7 @@
     """Neither counts nor a report are stored, unlike for earlier and later windows."""
 
 
-class UsageLine(msgspec.Struct, frozen=True):
+class WindowSummary(msgspec.Struct, frozen=True):
     """One window and its counts so far."""
 
     window: UsageWindow
@@ -34,11 +34,11 @@
     counts: Mapping[WorkspaceName, int]
 
 
-def usage_lines(
-    settled: Sequence[UsageLine],
+def summarize_windows(
+    settled: Sequence[WindowSummary],
     counting: Mapping[UsageWindow, Mapping[WorkspaceName, int]],
     max_count: int,
-) -> list[UsageLine]:
+) -> list[WindowSummary]:
     """Return the newest windows, oldest first.
 
     Parameters
@@ -50,12 +50,12 @@
     """
     lines = {each.window: each for each in settled}
     for window, counts in counting.items():
-        lines.setdefault(window, UsageLine(window, WindowState.COUNTING, counts))
+        lines.setdefault(window, WindowSummary(window, WindowState.COUNTING, counts))
     if not lines:
         return []
     first = max(min(lines), max(lines) - max_count + 1)
     last = max(lines)
     return [
-        lines.get(window, UsageLine(window, WindowState.MISSING, {}))
+        lines.get(window, WindowSummary(window, WindowState.MISSING, {}))
         for window in map(UsageWindow, range(first, last + 1))
     ]
--- a/src/bankrudder/usage/_time.py
+++ b/src/bankrudder/usage/_time.py
@@ -41,7 +41,7 @@
         self._comparisons: deque[_ClockComparison] = deque(maxlen=MAX_COMPARISONS)
         self._published_s: float | None = None
 
-    def note(self, sent_at: float, store_time_s: float) -> None:
+    def record_store_time(self, sent_at: float, store_time_s: float) -> None:
         """Record the store's time from an answer that has just arrived.
 
         Parameters
@@ -90,7 +90,7 @@
         return self._published_s
 
 
-class TrueTime:
+class FleetTime:
     """The time of day by the majority of the hosts' wall clocks.
 
     Parameters
--- a/src/bankrudder/usage/_windows.py
+++ b/src/bankrudder/usage/_windows.py
@@ -17,7 +17,7 @@
 remaining time allows another host to take over the duty and send the report."""
 
 
-class UsageTerms(msgspec.Struct, frozen=True):
+class ReportSchedule(msgspec.Struct, frozen=True):
     """Window length and report deadline that the platform requires.
 
     Attributes
@@ -44,8 +44,10 @@
         return self.window_at(fleet_time_s - self.due.total_seconds())
 
     def should_report(
-        self, window: UsageWindow, fleet_time_s: float, *, is_everyone_heard: bool
+        self, window: UsageWindow, fleet_time_s: float, *, has_heard_all_hosts: bool
     ) -> bool:
         """Whether a window should be reported now."""
-        share = COMPLETE_REPORT_SHARE if is_everyone_heard else INCOMPLETE_REPORT_SHARE
+        share = (
+            COMPLETE_REPORT_SHARE if has_heard_all_hosts else INCOMPLETE_REPORT_SHARE
+        )
         return fleet_time_s >= self.end_of(window) + share * self.due.total_seconds()
--- a/src/bankrudder/workspaces/__init__.py
+++ b/src/bankrudder/workspaces/__init__.py
@@ -3,22 +3,22 @@
 from bankrudder.workspaces._admission import (
     Admitted,
     Denial,
+    DenialReason,
     KeyIndex,
-    Refusal,
 )
 from bankrudder.workspaces._keys import ApiKey, KeyDigest, parse_bearer
-from bankrudder.workspaces._refreshing import UnknownKeyRefresh
+from bankrudder.workspaces._refreshing import UnknownKeyRefreshLimiter
 from bankrudder.workspaces._values import DuplicateKeyError, WorkspaceKeys
 
 __all__ = [
     "Admitted",
     "ApiKey",
     "Denial",
+    "DenialReason",
     "DuplicateKeyError",
     "KeyDigest",
     "KeyIndex",
-    "Refusal",
-    "UnknownKeyRefresh",
+    "UnknownKeyRefreshLimiter",
     "WorkspaceKeys",
     "parse_bearer",
 ]
--- a/src/bankrudder/workspaces/_admission.py
+++ b/src/bankrudder/workspaces/_admission.py
@@ -16,7 +16,7 @@
     workspace: WorkspaceName = NO_WORKSPACE
 
 
-class Refusal(Enum):
+class DenialReason(Enum):
     """Why a request may not run."""
 
     NO_KEY = "no_key"
@@ -26,7 +26,7 @@
 class Denial(msgspec.Struct, frozen=True):
     """The request may not run according to the configuration that decided it."""
 
-    reason: Refusal
+    reason: DenialReason
 
 
 class KeyIndex:
@@ -69,4 +69,4 @@
             return Admitted(owner)
         if is_public:
             return Admitted()
-        return Denial(Refusal.NO_KEY if key is None else Refusal.UNKNOWN_KEY)
+        return Denial(DenialReason.NO_KEY if key is None else DenialReason.UNKNOWN_KEY)
--- a/src/bankrudder/workspaces/_refreshing.py
+++ b/src/bankrudder/workspaces/_refreshing.py
@@ -12,7 +12,7 @@
 from bankrudder.world import Clock
 
 
-class UnknownKeyRefresh:
+class UnknownKeyRefreshLimiter:
     """Limits the rate of one host's refreshes, which the caller carries out.
 
     Parameters
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -55,13 +55,13 @@
     def is_alive(self, host, lifetime):
         return (host, lifetime) == (self.host, self.lifetime)
 
-    def is_in(self, host, data_centres):
+    def is_in_data_centres(self, host, data_centres):
         return True
 
     def live_hosts(self, data_centres):
         return [self.host]
 
-    def room_of(self, host):
+    def capacity_of(self, host):
         return 1.0
 
 
--- a/tests/duties/test_duty.py
+++ b/tests/duties/test_duty.py
@@ -22,14 +22,14 @@
 
 class Api:
     def __init__(self, outcome=DutyOutcome.DONE, duration_s=0.0):
-        self.tickets = []
+        self.grants = []
         self._outcome = outcome
         self._duration_s = duration_s
         self.max_concurrent_calls = 0
         self._concurrent_calls = 0
 
-    async def call(self, call, ticket):
-        self.tickets.append(ticket)
+    async def call(self, call, grant):
+        self.grants.append(grant)
         self._concurrent_calls += 1
         self.max_concurrent_calls = max(
             self.max_concurrent_calls, self._concurrent_calls
@@ -46,8 +46,8 @@
 async def test_a_call_carries_the_holder_and_the_fencing_token(hand_clock):
     api = Api()
     assert await make_duty(api, Lease(), hand_clock).call(CALL) is DutyOutcome.DONE
-    [ticket] = api.tickets
-    assert (ticket.holder, ticket.fence) == ("a", 7)
+    [grant] = api.grants
+    assert (grant.holder, grant.fence) == ("a", 7)
 
 
 @pytest.mark.parametrize("left_s", [0.0, MIN_LEASE_LEFT_S / 2])
@@ -55,7 +55,7 @@
     api = Api()
     outcome = await make_duty(api, Lease(left_s), hand_clock).call(CALL)
     assert outcome is DutyOutcome.NOT_ON_DUTY
-    assert api.tickets == []
+    assert api.grants == []
 
 
 @pytest.mark.parametrize(
@@ -65,26 +65,26 @@
 async def test_no_call_outlasts_the_lease(hand_clock, left_s, timeout_s):
     api = Api()
     await make_duty(api, Lease(left_s), hand_clock).call(CALL)
-    assert api.tickets[0].timeout_s == timeout_s
+    assert api.grants[0].timeout_s == timeout_s
 
 
 async def test_the_lease_can_be_checked_again_right_before_sending(hand_clock):
     api = Api()
     lease = Lease()
     await make_duty(api, lease, hand_clock).call(CALL)
-    [ticket] = api.tickets
-    assert ticket.is_held()
+    [grant] = api.grants
+    assert grant.is_held()
     lease.fence = 9  # the lease was lost and acquired again
-    assert not ticket.is_held()
+    assert not grant.is_held()
     lease.fence, lease.left_s = 7, 0.0
-    assert not ticket.is_held()
+    assert not grant.is_held()
 
 
 async def test_calls_do_not_overlap(hand_clock):
     api = Api(duration_s=0.01)
     held_duty = make_duty(api, Lease(), hand_clock)
     await asyncio.gather(*(held_duty.call(CALL) for _ in range(5)))
-    assert len(api.tickets) == 5
+    assert len(api.grants) == 5
     assert api.max_concurrent_calls == 1
 
 
--- a/tests/presence/test_hosts.py
+++ b/tests/presence/test_hosts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bankrudder.platform._store import PlatformStore
-from bankrudder.presence import DrawnOrder, Presence, draw
+from bankrudder.presence import Presence, RendezvousOrder, rendezvous_hash
 from bankrudder.world import SystemClock
 from outside.site import until
 from outside.store import GateMode, StoreGate, StoreRows
@@ -41,7 +41,7 @@
 
 
 def find_duty_hosts(presence):
-    return sorted(presence.duty_hosts(DrawnOrder("duty"), 3))
+    return sorted(presence.duty_hosts(RendezvousOrder("duty"), 3))
 
 
 async def test_a_silent_host_is_considered_dead(hosts):
@@ -172,15 +172,17 @@
 
 async def test_all_hosts_agree_on_the_first_hosts_of_an_order(hosts):
     await wait_until_all_known(hosts)
-    expected_order = sorted(("a", "b", "c"), key=lambda host: draw("duty", host))
+    expected_order = sorted(
+        ("a", "b", "c"), key=lambda host: rendezvous_hash("duty", host)
+    )
     for host in hosts:
-        found = host.presence.first_live(DrawnOrder("duty"), 2)
+        found = host.presence.first_live(RendezvousOrder("duty"), 2)
         assert found == expected_order[:2]
 
 
 async def test_leaving_and_unsuitable_hosts_are_skipped_in_an_order(hosts):
     await wait_until_all_known(hosts)
-    order = DrawnOrder("duty")
+    order = RendezvousOrder("duty")
     first, second, third = hosts[1].presence.first_live(order, 3)
     by_name = {host.presence.host: host for host in hosts}
     by_name[first].presence.leave()
--- a/tests/presence/test_rendezvous.py
+++ b/tests/presence/test_rendezvous.py
@@ -1,18 +1,18 @@
 """The order of hosts depends only on the name, and is sorted again only on a change."""
 
-from bankrudder.presence import DrawnOrder, draw
+from bankrudder.presence import RendezvousOrder, rendezvous_hash
 
 HOSTS = {f"h{number}" for number in range(20)}
 
 
 def test_hosts_are_ordered_by_their_hash():
-    order = DrawnOrder("duty").of(HOSTS)
-    assert list(order) == sorted(HOSTS, key=lambda host: draw("duty", host))
-    assert list(DrawnOrder("other").of(HOSTS)) != list(order)
+    order = RendezvousOrder("duty").of(HOSTS)
+    assert list(order) == sorted(HOSTS, key=lambda host: rendezvous_hash("duty", host))
+    assert list(RendezvousOrder("other").of(HOSTS)) != list(order)
 
 
 def test_the_order_is_cached_while_the_hosts_are_the_same():
-    order_cache = DrawnOrder("duty")
+    order_cache = RendezvousOrder("duty")
     seen = dict.fromkeys(HOSTS)
     order = order_cache.of(seen.keys())
     assert order_cache.of(seen.keys()) is order
--- a/tests/presence/test_seen.py
+++ b/tests/presence/test_seen.py
@@ -49,15 +49,15 @@
     record_heartbeat(seen, "b")
     hand_clock.advance(silent_s)
     record_heartbeat(seen, "c")
-    assert seen.is_everyone_heard("a", 2.0, 15.0) is is_heard
+    assert seen.has_heard_all_hosts("a", 2.0, 15.0) is is_heard
     hand_clock.advance(100.0)
-    assert seen.is_everyone_heard("a", 2.0, 15.0)
+    assert seen.has_heard_all_hosts("a", 2.0, 15.0)
 
 
 def test_the_asking_host_is_left_out(seen, hand_clock):
     record_heartbeat(seen, "a")
     hand_clock.advance(5.0)
-    assert seen.is_everyone_heard("a", 2.0, 15.0)
+    assert seen.has_heard_all_hosts("a", 2.0, 15.0)
 
 
 def test_hosts_that_publish_no_clock_offset_are_left_out(seen):
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -38,7 +38,7 @@
         self.outcomes = []
         self.orders = []
 
-    async def call(self, call, ticket):
+    async def call(self, call, grant):
         self.orders.append(call)
         return self.outcomes.pop(0) if self.outcomes else DutyOutcome.DONE
 
--- a/tests/usage/test_counting.py
+++ b/tests/usage/test_counting.py
@@ -4,50 +4,52 @@
 
 import pytest
 
-from bankrudder.usage import StoreClock, TrueTime, UsageBook, UsageTerms
+from bankrudder.usage import FleetTime, ReportSchedule, StoreClock, UsageCounter
 from bankrudder.world import NO_WORKSPACE
 
-TERMS = UsageTerms(timedelta(seconds=5), timedelta(seconds=10))
+SCHEDULE = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10))
 
 
 @pytest.fixture
-def book(hand_clock):
-    time = TrueTime(StoreClock(hand_clock), list, hand_clock)
-    return UsageBook(TERMS, time)
+def counter(hand_clock):
+    time = FleetTime(StoreClock(hand_clock), list, hand_clock)
+    return UsageCounter(SCHEDULE, time)
 
 
 @pytest.fixture
 def window(hand_clock):
-    return TERMS.window_at(hand_clock.wall())
+    return SCHEDULE.window_at(hand_clock.wall())
 
 
-def test_a_request_counts_in_the_window_in_which_it_started(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
+def test_a_request_counts_in_the_window_in_which_it_started(
+    counter, window, hand_clock
+):
+    counter.note_begun("north", hand_clock.monotonic())
     hand_clock.advance(7.0)
-    book.note_begun("north", hand_clock.monotonic() - 6.9)
-    book.note_begun("south", hand_clock.monotonic())
-    assert book.unsaved_windows == [window, window + 1]
-    assert book.take_counts(window) == {"north": 2}
-    assert book.take_counts(window + 1) == {"south": 1}
+    counter.note_begun("north", hand_clock.monotonic() - 6.9)
+    counter.note_begun("south", hand_clock.monotonic())
+    assert counter.unsaved_windows == [window, window + 1]
+    assert counter.take_counts(window) == {"north": 2}
+    assert counter.take_counts(window + 1) == {"south": 1}
 
 
-def test_requests_of_no_workspace_are_not_counted(book, hand_clock):
-    book.note_begun(NO_WORKSPACE, hand_clock.monotonic())
-    assert book.unsaved_windows == []
+def test_requests_of_no_workspace_are_not_counted(counter, hand_clock):
+    counter.note_begun(NO_WORKSPACE, hand_clock.monotonic())
+    assert counter.unsaved_windows == []
 
 
-def test_counts_marked_unsaved_are_taken_again(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
-    book.take_counts(window)
-    assert book.unsaved_windows == []
-    book.mark_unsaved(window)
-    book.note_begun("north", hand_clock.monotonic())
-    assert book.take_counts(window) == {"north": 2}
+def test_counts_marked_unsaved_are_taken_again(counter, window, hand_clock):
+    counter.note_begun("north", hand_clock.monotonic())
+    counter.take_counts(window)
+    assert counter.unsaved_windows == []
+    counter.mark_unsaved(window)
+    counter.note_begun("north", hand_clock.monotonic())
+    assert counter.take_counts(window) == {"north": 2}
 
 
-def test_unsaved_counts_are_not_discarded(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
-    book.discard_before(window + 100)
-    assert book.take_counts(window) == {"north": 1}
-    book.discard_before(window + 100)
-    assert book.take_counts(window) == {}
+def test_unsaved_counts_are_not_discarded(counter, window, hand_clock):
+    counter.note_begun("north", hand_clock.monotonic())
+    counter.discard_before(window + 100)
+    assert counter.take_counts(window) == {"north": 1}
+    counter.discard_before(window + 100)
+    assert counter.take_counts(window) == {}
--- a/tests/usage/test_reporting.py
+++ b/tests/usage/test_reporting.py
@@ -11,16 +11,16 @@
 from bankrudder.duties import Duty, DutyOutcome
 from bankrudder.store import ABSENT, StoreTrouble, StoreUnavailableError
 from bankrudder.usage import (
+    FleetTime,
+    ReportSchedule,
     StoreClock,
-    TrueTime,
     UsageReporter,
     UsageRows,
-    UsageTerms,
 )
 from hand_clock import HandClock
 from outside.store import GateMode
 
-TERMS = UsageTerms(timedelta(seconds=5), timedelta(seconds=10))
+SCHEDULE = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10))
 CALLS_PER_S = 1e6
 
 
@@ -47,8 +47,8 @@
         self.calls = []
         self.accepted = {}
 
-    async def call(self, call, ticket):
-        self.calls.append((call.window, ticket.holder, ticket.fence))
+    async def call(self, call, grant):
+        self.calls.append((call.window, grant.holder, grant.fence))
         outcome = self.outcomes.pop(0) if self.outcomes else DutyOutcome.DONE
         if outcome in (DutyOutcome.DONE, "lost"):
             assert self.accepted.setdefault(call.window, call.counts) == call.counts
@@ -62,22 +62,22 @@
         self.clock = HandClock()
         self.rows = UsageRows(store, self.clock)
         self.platform = Platform()
-        self.is_everyone_heard = True
+        self.has_heard_all_hosts = True
         self.leases = {}
         self.reporters = {}
-        self.first = TERMS.window_at(self.clock.wall())
+        self.first = SCHEDULE.window_at(self.clock.wall())
 
     def host(self, name):
         lease = self.leases[name] = FakeLease()
         duty = Duty("usage", self.platform, lease, name, CALLS_PER_S, self.clock)
-        time = TrueTime(StoreClock(self.clock), list, self.clock)
+        time = FleetTime(StoreClock(self.clock), list, self.clock)
         self.reporters[name] = UsageReporter(
             duty,
             self.rows,
-            TERMS,
+            SCHEDULE,
             time,
             lambda: lease.fence,
-            lambda _: self.is_everyone_heard,
+            lambda _: self.has_heard_all_hosts,
         )
 
     def set_holder(self, name, fence):
@@ -86,8 +86,8 @@
             lease.fence = 0
         self.leases[name].fence = fence
 
-    async def look(self, name):
-        await self.reporters[name].look()
+    async def report_due_windows(self, name):
+        await self.reporters[name].report_due_windows()
 
     async def count(self, window, writer="w.1", **counts):
         await self.rows.put_counts(window, writer, counts, ABSENT)
@@ -104,11 +104,11 @@
 
 async def test_windows_are_reported_in_order(reporting):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     await reporting.count(first, north=3, south=1)
     await reporting.count(first, "v.1", north=1)
     reporting.clock.advance(14.1)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.accepted == {
         first: {"north": 4, "south": 1},
         first + 1: {},
@@ -116,23 +116,23 @@
 
 
 async def test_nothing_is_reported_before_all_counts_can_be_stored(reporting):
-    await reporting.look("a")
-    left = TERMS.end_of(reporting.first) - reporting.clock.wall()
+    await reporting.report_due_windows("a")
+    left = SCHEDULE.end_of(reporting.first) - reporting.clock.wall()
     reporting.clock.advance(left + 3.9)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.calls == []
 
 
 async def test_a_report_waits_for_the_counts_of_a_silent_host(reporting):
     first = reporting.first
-    await reporting.look("a")
-    reporting.is_everyone_heard = False
-    reporting.clock.advance(TERMS.end_of(first) - reporting.clock.wall() + 7.5)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
+    reporting.has_heard_all_hosts = False
+    reporting.clock.advance(SCHEDULE.end_of(first) - reporting.clock.wall() + 7.5)
+    await reporting.report_due_windows("a")
     assert reporting.platform.calls == []
     await reporting.count(first, north=2)
     reporting.clock.advance(0.6)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.accepted == {first: {"north": 2}}
 
 
@@ -148,20 +148,20 @@
 @pytest.mark.parametrize("outcomes", list(itertools.product(OUTCOMES, repeat=2)))
 async def test_no_window_gets_two_bodies_for_any_call_outcomes(reporting, outcomes):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     await reporting.count(first, north=3)
     reporting.clock.advance(20.0)
     reporting.platform.outcomes = [outcomes[0]]
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     # Counts that arrive late do not change a stored report.
     await reporting.count(first, "late.1", north=50)
     reporting.set_holder("b", 9)
     reporting.platform.outcomes = [outcomes[1]]
-    await reporting.look("b")
+    await reporting.report_due_windows("b")
     reporting.clock.advance(1.0)
-    await reporting.look("b")
+    await reporting.report_due_windows("b")
     reporting.set_holder("a", 12)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     accepted = reporting.platform.accepted
     assert accepted[first] == {"north": 3}
     assert sorted(accepted) == list(range(first, max(accepted) + 1))
@@ -170,27 +170,27 @@
 
 
 async def test_the_next_holder_does_not_resend_accepted_reports(reporting):
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.clock.advance(20.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     before = len(reporting.platform.calls)
     reporting.set_holder("b", 9)
-    await reporting.look("b")
+    await reporting.report_due_windows("b")
     assert len(reporting.platform.calls) == before
 
 
 async def test_a_returning_holder_continues_after_the_reports_of_another(reporting):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.clock.advance(10.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.set_holder("b", 9)
     reporting.clock.advance(10.0)
-    await reporting.look("b")
+    await reporting.report_due_windows("b")
     reporting.set_holder("a", 12)
     await reporting.count(first + 3, north=1)
     reporting.clock.advance(5.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     windows = [window for window, _, _ in reporting.platform.calls]
     assert windows == list(range(first, first + len(windows)))
 
@@ -198,47 +198,47 @@
 async def test_a_first_holder_reports_counts_stored_before_it_started(reporting):
     await reporting.count(reporting.first - 2, north=1)
     reporting.clock.advance(10.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.accepted[reporting.first - 2] == {"north": 1}
     assert min(reporting.platform.accepted) == reporting.first - 2
 
 
 async def test_counts_that_arrive_after_a_first_holder_started_are_reported(reporting):
     first = reporting.first
-    reporting.clock.advance(TERMS.end_of(first) - reporting.clock.wall() + 0.1)
-    await reporting.look("a")
+    reporting.clock.advance(SCHEDULE.end_of(first) - reporting.clock.wall() + 0.1)
+    await reporting.report_due_windows("a")
     await reporting.count(first, north=3)
     reporting.clock.advance(9.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.accepted == {first: {"north": 3}, first + 1: {}}
 
 
 async def test_windows_before_the_first_request_are_not_reported(reporting):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.clock.advance(20.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert min(reporting.platform.accepted) == first
 
 
 async def test_reports_delayed_by_a_platform_outage_are_sent_after_it(reporting):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.platform.outcomes = [DutyOutcome.UNKNOWN] * 3
     for _ in range(3):
         reporting.clock.advance(20.0)
-        await reporting.look("a")
+        await reporting.report_due_windows("a")
     assert reporting.platform.accepted == {}
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert sorted(reporting.platform.accepted)[:11] == list(range(first, first + 11))
 
 
 async def test_a_rejected_report_does_not_block_later_windows(reporting):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.platform.outcomes = [DutyOutcome.REJECTED]
     reporting.clock.advance(20.0)
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert first not in reporting.platform.accepted
     assert first + 1 in reporting.platform.accepted
     kept = {each.window: each.row for each in await reporting.rows.reports()}
@@ -248,15 +248,15 @@
 
 async def test_a_store_outage_delays_reports_but_loses_none(reporting, gate):
     first = reporting.first
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.clock.advance(20.0)
     gate.mode = GateMode.SILENT
     gate.mode = GateMode.BUSY
     with pytest.raises(Exception, match="busy"):
-        await reporting.look("a")
+        await reporting.report_due_windows("a")
     assert reporting.platform.calls == []
     gate.mode = GateMode.OPEN
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert sorted(reporting.platform.accepted)[:3] == [first, first + 1, first + 2]
 
 
@@ -269,14 +269,14 @@
     reporting, monkeypatch, outcome
 ):
     first = reporting.first
-    await reporting.look("a")
-    reporting.clock.advance(TERMS.end_of(first) - reporting.clock.wall() + 4.1)
+    await reporting.report_due_windows("a")
+    reporting.clock.advance(SCHEDULE.end_of(first) - reporting.clock.wall() + 4.1)
     reporting.platform.outcomes = [outcome]
     with monkeypatch.context() as patched:
         patched.setattr(reporting.rows, "record_answer", store_is_busy)
-        await reporting.look("a")
+        await reporting.report_due_windows("a")
     assert not (await reporting.rows.reports())[0].row.is_done
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     kept = (await reporting.rows.reports())[0].row
     assert kept.is_done
     assert kept.is_rejected is (outcome is DutyOutcome.REJECTED)
@@ -284,8 +284,8 @@
 
 
 async def test_no_report_is_sent_just_before_the_lease_expires(reporting):
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     reporting.clock.advance(20.0)
     reporting.leases["a"].left_s = 0.05
-    await reporting.look("a")
+    await reporting.report_due_windows("a")
     assert reporting.platform.calls == []
--- a/tests/usage/test_storage.py
+++ b/tests/usage/test_storage.py
@@ -6,19 +6,19 @@
 
 from bankrudder.store import ABSENT, StoreUnavailableError
 from bankrudder.usage import (
+    FleetTime,
+    ReportSchedule,
     StoreClock,
-    TrueTime,
-    UsageBook,
-    UsageKeeper,
+    UsageCounter,
     UsageRows,
-    UsageTerms,
+    UsageWriter,
 )
 from bankrudder.world import SystemClock
 from hand_clock import HandClock
 from outside.store import GateMode
 
 WINDOW = 340_000_000
-TERMS = UsageTerms(timedelta(seconds=5), timedelta(seconds=10))
+SCHEDULE = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10))
 
 
 @pytest.fixture
@@ -85,47 +85,47 @@
 
 
 @pytest.fixture
-def book(clock):
-    return UsageBook(TERMS, TrueTime(StoreClock(clock), list, clock))
+def counter(clock):
+    return UsageCounter(SCHEDULE, FleetTime(StoreClock(clock), list, clock))
 
 
 @pytest.fixture
-def keeper(book, usage):
-    return UsageKeeper(book, usage, "a", "1", lambda: 1)
+def usage_writer(counter, usage):
+    return UsageWriter(counter, usage, "a", "1", lambda: 1)
 
 
 async def test_a_request_that_ends_late_is_added_to_its_window(
-    keeper, book, usage, clock
+    usage_writer, counter, usage, clock
 ):
     # The slow request starts in the first window and ends after later windows were
     # written.
-    window = TERMS.window_at(clock.wall())
+    window = SCHEDULE.window_at(clock.wall())
     slow_began_at = clock.monotonic()
     for _ in range(3):
-        book.note_begun("north", clock.monotonic())
-    await keeper.keep()
+        counter.note_begun("north", clock.monotonic())
+    await usage_writer.write_unsaved()
     clock.advance(5.0)
-    book.note_begun("north", clock.monotonic())
-    await keeper.keep()
+    counter.note_begun("north", clock.monotonic())
+    await usage_writer.write_unsaved()
     clock.advance(1.0)
-    book.note_begun("south", clock.monotonic())
-    await keeper.keep()
-    book.note_begun("north", slow_began_at)
-    await keeper.keep()
+    counter.note_begun("south", clock.monotonic())
+    await usage_writer.write_unsaved()
+    counter.note_begun("north", slow_began_at)
+    await usage_writer.write_unsaved()
     assert await usage.counts(window) == {"north": 4}
     assert await usage.counts(window + 1) == {"north": 1, "south": 1}
 
 
-async def test_counts_of_overdue_windows_are_discarded(keeper, book, clock):
-    window = TERMS.window_at(clock.wall())
+async def test_counts_of_overdue_windows_are_discarded(usage_writer, counter, clock):
+    window = SCHEDULE.window_at(clock.wall())
     for _ in range(10):
-        book.note_begun("north", clock.monotonic())
-        await keeper.keep()
+        counter.note_begun("north", clock.monotonic())
+        await usage_writer.write_unsaved()
         clock.advance(5.0)
-    book.note_begun("north", clock.monotonic())
-    await keeper.keep()
-    assert [book.take_counts(window + k) for k in range(8)] == [{}] * 8
-    assert book.take_counts(window + 9) == {"north": 1}
+    counter.note_begun("north", clock.monotonic())
+    await usage_writer.write_unsaved()
+    assert [counter.take_counts(window + k) for k in range(8)] == [{}] * 8
+    assert counter.take_counts(window + 9) == {"north": 1}
 
 
 async def test_writes_raise_while_the_store_is_unavailable(usage, gate):
--- a/tests/usage/test_time.py
+++ b/tests/usage/test_time.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bankrudder.usage import StoreClock, TrueTime
+from bankrudder.usage import FleetTime, StoreClock
 from hand_clock import START_WALL_S, HandClock
 
 STORE_AHEAD_S = 40_000.0
@@ -17,7 +17,7 @@
     clock.advance(round_trip_s / 2)
     store_time = clock.monotonic() + STORE_AHEAD_S
     clock.advance(round_trip_s / 2)
-    store.note(sent_at, store_time)
+    store.record_store_time(sent_at, store_time)
 
 
 @pytest.fixture
@@ -35,7 +35,7 @@
 
 def test_the_store_clock_is_unknown_before_the_first_answer(hand_clock):
     store = StoreClock(hand_clock)
-    store.note(0.0, 0.0)
+    store.record_store_time(0.0, 0.0)
     assert store.time_at(0.0) is None
     assert store.wall_ahead_s() is None
 
@@ -43,12 +43,12 @@
 def test_the_answer_with_the_shortest_round_trip_is_used(hand_clock, store):
     sent_at = hand_clock.monotonic()
     hand_clock.advance(0.8)
-    store.note(sent_at, sent_at + STORE_AHEAD_S)
+    store.record_store_time(sent_at, sent_at + STORE_AHEAD_S)
     assert store.time_at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
 
 
 def test_a_host_without_a_store_answer_uses_its_own_clock(hand_clock):
-    time = TrueTime(StoreClock(hand_clock), list, hand_clock)
+    time = FleetTime(StoreClock(hand_clock), list, hand_clock)
     hand_clock.advance(3.0)
     assert time.now() == START_WALL_S + 3.0
     assert time.time_at(1.0) == START_WALL_S + 1.0
@@ -67,7 +67,7 @@
         clock._wall += error_s
     ahead = [store.wall_ahead_s() for store in stores]
     for clock, store in zip(hosts, stores, strict=True):
-        time = TrueTime(store, lambda: ahead, clock)
+        time = FleetTime(store, lambda: ahead, clock)
         moment = clock.monotonic()
         expected = true_clock.wall() + moment
         assert time.now() == pytest.approx(expected, abs=0.03)
@@ -84,7 +84,7 @@
 
 def test_one_clock_that_jumps_does_not_change_the_agreed_time(hand_clock, store):
     ahead = [store.wall_ahead_s()] * 3
-    time = TrueTime(store, lambda: [*ahead[:2], store.wall_ahead_s()], hand_clock)
+    time = FleetTime(store, lambda: [*ahead[:2], store.wall_ahead_s()], hand_clock)
     before = time.now()
     hand_clock._wall += 6.0
     assert time.now() == pytest.approx(before, abs=0.001)
--- a/tests/usage/test_windows.py
+++ b/tests/usage/test_windows.py
@@ -6,26 +6,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bankrudder.usage import UsageTerms
+from bankrudder.usage import ReportSchedule
 
-TERMS = UsageTerms(timedelta(seconds=5), timedelta(seconds=10))
+SCHEDULE = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10))
 
 
 @given(st.floats(0, 4e9), st.sampled_from([0.5, 1.0, 5.0, 60.0]))
 def test_each_moment_is_in_one_window(moment, length_s):
-    terms = UsageTerms(timedelta(seconds=length_s), timedelta(seconds=10))
-    window = terms.window_at(moment)
-    assert terms.end_of(window) - length_s <= moment < terms.end_of(window)
+    schedule = ReportSchedule(timedelta(seconds=length_s), timedelta(seconds=10))
+    window = schedule.window_at(moment)
+    assert schedule.end_of(window) - length_s <= moment < schedule.end_of(window)
 
 
 def test_windows_are_counted_from_the_epoch():
-    assert TERMS.window_at(0.0) == 0
-    assert TERMS.window_at(5.0) == 1
-    assert TERMS.end_of(353_445_120) == 5 * 353_445_121
+    assert SCHEDULE.window_at(0.0) == 0
+    assert SCHEDULE.window_at(5.0) == 1
+    assert SCHEDULE.end_of(353_445_120) == 5 * 353_445_121
 
 
 @pytest.mark.parametrize(
-    ("after_s", "is_everyone_heard", "is_due"),
+    ("after_s", "has_heard_all_hosts", "is_due"),
     [
         (-1.0, True, False),
         (3.9, True, False),
@@ -37,22 +37,27 @@
     ],
 )
 def test_a_window_waits_for_silent_hosts_but_not_past_its_due_time(
-    after_s, is_everyone_heard, is_due
+    after_s, has_heard_all_hosts, is_due
 ):
-    window = TERMS.window_at(1_700_000_000.0)
-    now = TERMS.end_of(window) + after_s
+    window = SCHEDULE.window_at(1_700_000_000.0)
+    now = SCHEDULE.end_of(window) + after_s
     assert (
-        TERMS.should_report(window, now, is_everyone_heard=is_everyone_heard) is is_due
+        SCHEDULE.should_report(window, now, has_heard_all_hosts=has_heard_all_hosts)
+        is is_due
     )
 
 
 @pytest.mark.parametrize("factor", [0.25, 1.0, 4.0])
 def test_report_times_scale_with_the_platform_deadline(factor):
-    terms = UsageTerms(timedelta(seconds=5 * factor), timedelta(seconds=10 * factor))
-    end = terms.end_of(terms.window_at(1_700_000_000.0))
-    window = terms.window_at(1_700_000_000.0)
-    assert terms.should_report(window, end + 4.1 * factor, is_everyone_heard=True)
-    assert not terms.should_report(window, end + 3.9 * factor, is_everyone_heard=True)
+    schedule = ReportSchedule(
+        timedelta(seconds=5 * factor), timedelta(seconds=10 * factor)
+    )
+    end = schedule.end_of(schedule.window_at(1_700_000_000.0))
+    window = schedule.window_at(1_700_000_000.0)
+    assert schedule.should_report(window, end + 4.1 * factor, has_heard_all_hosts=True)
+    assert not schedule.should_report(
+        window, end + 3.9 * factor, has_heard_all_hosts=True
+    )
 
 
 @pytest.mark.parametrize("factor", [0.25, 1.0, 4.0])
@@ -60,7 +65,7 @@
 def test_the_oldest_reportable_window_is_not_overdue_but_its_predecessor_is(
     moment, factor
 ):
-    terms = UsageTerms(timedelta(seconds=5), timedelta(seconds=10 * factor))
-    oldest = terms.oldest_reportable(moment)
-    assert terms.end_of(oldest) + 10 * factor > moment
-    assert terms.end_of(oldest - 1) + 10 * factor <= moment
+    schedule = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10 * factor))
+    oldest = schedule.oldest_reportable(moment)
+    assert schedule.end_of(oldest) + 10 * factor > moment
+    assert schedule.end_of(oldest - 1) + 10 * factor <= moment
--- a/tests/workspaces/test_admission.py
+++ b/tests/workspaces/test_admission.py
@@ -8,9 +8,9 @@
     Admitted,
     ApiKey,
     Denial,
+    DenialReason,
     DuplicateKeyError,
     KeyIndex,
-    Refusal,
     WorkspaceKeys,
     parse_bearer,
 )
@@ -34,9 +34,9 @@
         ("second", False, Admitted("north")),
         ("third", False, Admitted("south")),
         ("third", True, Admitted("south")),
-        ("unknown", False, Denial(Refusal.UNKNOWN_KEY)),
+        ("unknown", False, Denial(DenialReason.UNKNOWN_KEY)),
         ("unknown", True, Admitted()),
-        (None, False, Denial(Refusal.NO_KEY)),
+        (None, False, Denial(DenialReason.NO_KEY)),
         (None, True, Admitted()),
     ],
 )
@@ -49,7 +49,7 @@
 
 def test_no_key_is_admitted_without_workspaces():
     assert KeyIndex([]).admit(ApiKey(SECRET), is_public=False) == Denial(
-        Refusal.UNKNOWN_KEY
+        DenialReason.UNKNOWN_KEY
     )
 
 
--- a/tests/workspaces/test_refreshing.py
+++ b/tests/workspaces/test_refreshing.py
@@ -1,14 +1,14 @@
 """Configuration refreshes for unknown keys are limited in rate."""
 
-from bankrudder.workspaces import UnknownKeyRefresh
+from bankrudder.workspaces import UnknownKeyRefreshLimiter
 
 
 def test_the_first_refresh_may_start_at_once(hand_clock):
-    assert UnknownKeyRefresh(lambda: 0.2, hand_clock).due_in_s() == 0
+    assert UnknownKeyRefreshLimiter(lambda: 0.2, hand_clock).due_in_s() == 0
 
 
 def test_a_flood_of_unknown_keys_causes_one_refresh_per_pause(hand_clock):
-    limiter = UnknownKeyRefresh(lambda: 0.2, hand_clock)
+    limiter = UnknownKeyRefreshLimiter(lambda: 0.2, hand_clock)
     refresh_count = 0
     for _ in range(1000):
         if limiter.due_in_s() == 0:
@@ -20,7 +20,7 @@
 
 def test_a_changed_pause_applies_at_once(hand_clock):
     pauses = [0.2]
-    limiter = UnknownKeyRefresh(lambda: pauses[0], hand_clock)
+    limiter = UnknownKeyRefreshLimiter(lambda: pauses[0], hand_clock)
     limiter.begin()
     pauses[0] = 2.0
     hand_clock.advance(0.5)
