--- a/src/bankrudder/workspaces/__init__.py
+++ b/src/bankrudder/workspaces/__init__.py
@@ -1,24 +1,24 @@
-"""Workspaces and their keys: whose request it is, and whether it may run."""
+"""Workspaces and their API keys: which workspace a request belongs to."""
 
 from bankrudder.workspaces._admission import (
     Admitted,
     Denial,
+    DenialReason,
     KeyIndex,
-    Refusal,
 )
 from bankrudder.workspaces._keys import ApiKey, KeyDigest, parse_bearer
-from bankrudder.workspaces._refreshing import UnknownKeyRefresh
+from bankrudder.workspaces._refreshing import UnknownKeyRefreshLimiter
 from bankrudder.workspaces._values import DuplicateKeyError, WorkspaceKeys
 
 __all__ = [
     "Admitted",
     "ApiKey",
     "Denial",
+    "DenialReason",
     "DuplicateKeyError",
     "KeyDigest",
     "KeyIndex",
-    "Refusal",
-    "UnknownKeyRefresh",
+    "UnknownKeyRefreshLimiter",
     "WorkspaceKeys",
     "parse_bearer",
 ]
