--- a/src/bankrudder/cli/__init__.py
+++ b/src/bankrudder/cli/__init__.py
@@ -1,4 +1,7 @@
-"""The operators' command."""
+"""The command ``bankrudder``.
+
+Operators configure and observe nodes with it, and make calls and steps for tests.
+"""
 
 import asyncio
 from argparse import Namespace
@@ -14,12 +17,12 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the command and return its exit code.
+    """Run the command line and return its exit code.
 
     Parameters
     ----------
     argv : sequence of str, optional
-        Arguments; by default those of the process.
+        Arguments; the default is the arguments of the process.
     """
     arguments = build_parser().parse_args(argv)
     output = Output(arguments.json)
--- a/src/bankrudder/cli/_calls.py
+++ b/src/bankrudder/cli/_calls.py
@@ -1,4 +1,4 @@
-"""Subcommands that try the system out as a caller or a trainer."""
+"""Subcommands that send requests as a caller or a trainer."""
 
 import argparse
 import base64
@@ -18,14 +18,14 @@
 SPAN_ID_BYTES = 8
 
 
-class _Traced(msgspec.Struct, frozen=True):
-    """The trace of a call, for ``bankrudder trace``."""
+class _TraceNote(msgspec.Struct, frozen=True):
+    """The trace ID of a call, as ``bankrudder trace`` takes it."""
 
     trace_id: str
 
 
-class _SampleLine(msgspec.Struct, frozen=True):
-    """One sample; the text is Base64, as it need not be UTF-8."""
+class _SampleResult(msgspec.Struct, frozen=True):
+    """One sample; the text is in Base64, because it may not be valid UTF-8."""
 
     group: int
     index: int
@@ -34,7 +34,7 @@
 
 
 async def call(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Make one call and print its whole answer."""
+    """Make one call and print the complete answer."""
     caller = Caller.from_config(
         [arguments.entry],
         read_token(arguments.token_file),
@@ -43,7 +43,7 @@
     )
     payload = read_file(arguments.payload)
     trace_id = secrets.token_hex(TRACE_ID_BYTES)
-    output.note(_Traced(trace_id), f"trace {trace_id}")
+    output.note(_TraceNote(trace_id), f"trace {trace_id}")
     async with caller:
         answer = await caller.call(
             arguments.pool,
@@ -59,7 +59,7 @@
 
 
 async def step(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Run one step and print each sample when it comes."""
+    """Run one step and print each sample when it arrives."""
     prompts = read_file(arguments.prompts).splitlines()
     trainer = Trainer.from_config(
         [arguments.entry],
@@ -72,7 +72,7 @@
             arguments.job, arguments.step, prompts, arguments.samples_per_group
         )
         async for sample in samples:
-            line = _SampleLine(
+            line = _SampleResult(
                 sample.slot.group,
                 sample.slot.index,
                 tuple(span.version for span in sample.versions),
@@ -93,7 +93,7 @@
     return lines
 
 
-def _sample_lines(line: _SampleLine, text: bytes) -> Sequence[str]:
+def _sample_lines(line: _SampleResult, text: bytes) -> Sequence[str]:
     versions = ",".join(map(str, line.versions))
-    shown = text.decode(errors="replace")
-    return [f"{line.group}.{line.index} versions {versions}: {shown}"]
+    decoded_text = text.decode(errors="replace")
+    return [f"{line.group}.{line.index} versions {versions}: {decoded_text}"]
--- a/src/bankrudder/cli/_commands.py
+++ b/src/bankrudder/cli/_commands.py
@@ -1,4 +1,4 @@
-"""What the subcommands of operators do."""
+"""Subcommands for operators."""
 
 import argparse
 import asyncio
@@ -27,30 +27,30 @@
 from bankrudder.failures import FailureReason
 from bankrudder.world import Address, Configuration, Revision
 
-PAUSE_S = 1.0
-"""Seconds between two questions of a command that waits."""
+POLL_INTERVAL_S = 1.0
+"""Pause between two requests of a command that waits, in seconds."""
 
 TRACE_ID = re.compile(r"[0-9a-f]{32}")
 
 Command = Callable[[argparse.Namespace, Output], Awaitable[ExitCode]]
 
 
-class _Checked(msgspec.Struct, frozen=True):
+class _CheckResult(msgspec.Struct, frozen=True):
     file: str
     right: bool = True
 
 
 async def check_file(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Check a configuration, or the settings of a node."""
+    """Validate a configuration, or the settings of a node."""
     data = read_file(arguments.file)
     if arguments.settings:
-        # Imported late: the daemon's package brings every part with it.
+        # The import is local because the package imports the whole daemon.
         from bankrudder.node import parse_settings
 
         parse_settings(data)
     else:
         check(data)
-    output.value(_Checked(arguments.file), [f"{arguments.file} is right"])
+    output.value(_CheckResult(arguments.file), [f"{arguments.file} is valid"])
     return ExitCode.OK
 
 
@@ -67,7 +67,7 @@
 
 
 async def apply(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Replace the configuration, and wait until it is accepted."""
+    """Replace the configuration; wait for ``--wait`` seconds until it is accepted."""
     document = read_file(arguments.file)
     check(document)
     async with _client(arguments, arguments.entry) as client:
@@ -85,10 +85,10 @@
     """Show what applying a file would change."""
     new = check(read_file(arguments.file))
     async with _client(arguments, arguments.entry) as client:
-        held = await client.configuration()
-    old = decode_document(held.document.encode(), Configuration)
+        current = await client.configuration()
+    old = decode_document(current.document.encode(), Configuration)
     change = difference(old, new)
-    lines = [f"against revision {held.revision}", *difference_lines(change)]
+    lines = [f"against revision {current.revision}", *difference_lines(change)]
     output.value(change, lines)
     return ExitCode.OK
 
@@ -96,19 +96,21 @@
 async def get(arguments: argparse.Namespace, output: Output) -> ExitCode:
     """Print the configuration in force, or write it to a file."""
     async with _client(arguments, arguments.entry) as client:
-        held = await _held_at_least(client, arguments.revision, arguments.wait)
+        current = await _wait_for_revision(client, arguments.revision, arguments.wait)
     if arguments.output:
-        write_file(arguments.output, held.document)
-        output.value(held, [f"revision {held.revision} written to {arguments.output}"])
+        write_file(arguments.output, current.document)
+        output.value(
+            current, [f"revision {current.revision} written to {arguments.output}"]
+        )
     else:
-        output.value(held, held.document.splitlines())
-    if held.revision < arguments.revision:
+        output.value(current, current.document.splitlines())
+    if current.revision < arguments.revision:
         return ExitCode.NOT_ACCEPTED_YET
     return ExitCode.OK
 
 
 async def status(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Show a node, or all of them; fail if one could not be asked."""
+    """Show the state of one node or all; fail if a node is unreachable."""
     async with _client(arguments, arguments.entry) as client:
         nodes = await client.status(arguments.all)
     output.value(nodes, status_lines(nodes, arguments.endpoints))
@@ -117,7 +119,7 @@
 
 
 async def usage(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Show what workspaces used, window by window."""
+    """Show the usage of workspaces, by window."""
     async with _client(arguments, arguments.entry) as client:
         windows = await client.usage(arguments.windows)
     output.value(windows, usage_table_lines(windows))
@@ -125,18 +127,18 @@
 
 
 async def drain(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Begin the graceful stop of a node."""
+    """Start the graceful shutdown of a node."""
     address = arguments.host_address
     async with _client(arguments, address) as client:
         await client.drain()
-    output.value(_Draining(address), [f"{address} is stopping"])
+    output.value(_DrainResult(address), [f"{address} is stopping"])
     return ExitCode.OK
 
 
 async def trace(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Print the finished spans of a trace, of all hosts; fail if there are none."""
+    """Print the finished spans of a trace from all hosts; fail if there are none."""
     if not TRACE_ID.fullmatch(arguments.trace_id):
-        detail = "ID: allowed are 32 lower-case hexadecimal digits"
+        detail = "ID: must be 32 lower-case hexadecimal digits"
         raise InvalidError(FailureReason.BAD_REQUEST, detail, field="ID")
     async with _client(arguments, arguments.entry) as client:
         nodes = await client.status(all_hosts=True)
@@ -147,19 +149,21 @@
         if node.rpc_address and not node.unreachable
     ]
     found = await asyncio.gather(
-        *(_spans_at(arguments, address, output) for address in others)
+        *(_spans_of_host(arguments, address, output) for address in others)
     )
-    spans += tuple(span for each in found for span in each)
+    spans += tuple(span for host_spans in found for span in host_spans)
     output.value([msgspec.Raw(span.encode()) for span in spans], spans)
     if not spans:
-        output.note(_NoSpans(arguments.trace_id), "no host holds spans of the trace")
+        output.note(
+            _NoSpansNote(arguments.trace_id), "no host holds spans of the trace"
+        )
     return ExitCode.OK if spans else ExitCode.FAILED
 
 
-async def _spans_at(
+async def _spans_of_host(
     arguments: argparse.Namespace, address: Address, output: Output
 ) -> tuple[str, ...]:
-    """Return the spans that another host holds, none if it does not answer."""
+    """Return the spans that another host holds, an empty tuple if it fails."""
     try:
         async with _client(arguments, address) as client:
             return await client.trace(arguments.trace_id)
@@ -168,12 +172,12 @@
         return ()
 
 
-class _NoSpans(msgspec.Struct, frozen=True):
+class _NoSpansNote(msgspec.Struct, frozen=True):
     trace_id: str
     spans: int = 0
 
 
-class _Draining(msgspec.Struct, frozen=True):
+class _DrainResult(msgspec.Struct, frozen=True):
     address: Address
     stopping: bool = True
 
@@ -187,10 +191,10 @@
 async def _apply_until_accepted(
     client: OperatorClient, document: str, base: Revision, wait_s: float
 ) -> Applied:
-    """Apply; while time is left, apply the same again until it is accepted.
+    """Apply a document, and apply it again until it is accepted or time is up.
 
-    The same document on the same base makes no second revision, so it may be
-    sent again also when a reply was lost.
+    Applying the same document to the same base again makes no second revision, so
+    the request is also sent again when a reply was lost.
     """
     loop = asyncio.get_running_loop()
     deadline = loop.time() + wait_s
@@ -203,17 +207,17 @@
         else:
             if applied.accepted or loop.time() >= deadline:
                 return applied
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _held_at_least(
+async def _wait_for_revision(
     client: OperatorClient, revision: Revision, wait_s: float
 ) -> ConfigurationDocument:
-    """Return what the node holds, once it is `revision` or time is up."""
+    """Return the node's configuration once it has `revision` or time is up."""
     loop = asyncio.get_running_loop()
     deadline = loop.time() + wait_s
     while True:
-        held = await client.configuration()
-        if held.revision >= revision or loop.time() >= deadline:
-            return held
-        await asyncio.sleep(PAUSE_S)
+        current = await client.configuration()
+        if current.revision >= revision or loop.time() >= deadline:
+            return current
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/bankrudder/cli/_exit.py
+++ b/src/bankrudder/cli/_exit.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the command ended with."""
+    """Exit code of the command; `EXIT_CODES_HELP` explains each one."""
 
     OK = 0
     FAILED = 1
@@ -18,11 +18,11 @@
 EXIT_CODES_HELP = """\
 exit codes:
   0  done
-  1  failed; the error says whether it may have taken effect
-  2  wrong input, nothing was sent or the node refused it as wrong
-  3  not yet: written, but not in force on all live hosts; or the node holds less
-     than --revision
-  4  conflict: somebody else applied a newer revision
+  1  failed; the error says whether the command may have taken effect
+  2  invalid input; nothing was sent, or the node refused it as invalid
+  3  not yet: the revision is written, but not in force on all live hosts, or the
+     node has an older revision than --revision
+  4  conflict: a newer revision was applied meanwhile
 """
 
 
--- a/src/bankrudder/cli/_files.py
+++ b/src/bankrudder/cli/_files.py
@@ -15,39 +15,55 @@
     Raises
     ------
     InvalidError
-        If it cannot be read.
+        If the file cannot be read.
     """
     if path == STANDARD_STREAM:
         return sys.stdin.buffer.read()
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise _unusable(path, error) from error
+        raise _file_error(path, error) from error
 
 
 def write_file(path: str, text: str) -> None:
-    """Write a file, raising as `read_file`."""
+    """Write a file.
+
+    Raises
+    ------
+    InvalidError
+        If the file cannot be written.
+    """
     try:
         Path(path).write_text(text)
     except OSError as error:
-        raise _unusable(path, error) from error
+        raise _file_error(path, error) from error
 
 
 def read_token(path: str | None) -> str:
-    """Return the token in a file, without the white space around it."""
+    """Return the token in a file, without surrounding white space.
+
+    Raises
+    ------
+    InvalidError
+        If no file is named, or it holds no printable ASCII token.
+    """
     if path is None:
         raise InvalidError(
-            FailureReason.UNAUTHENTICATED, "--token-file is needed", field="token-file"
+            FailureReason.UNAUTHENTICATED,
+            "--token-file is required",
+            field="token-file",
         )
     token = read_file(path).decode(errors="replace").strip()
     if not token or not token.isascii() or not token.isprintable():
         raise InvalidError(
-            FailureReason.UNAUTHENTICATED, f"{path} holds no token", field="token-file"
+            FailureReason.UNAUTHENTICATED,
+            f"{path} must hold a token of printable ASCII characters",
+            field="token-file",
         )
     return token
 
 
-def _unusable(path: str, error: OSError) -> InvalidError:
+def _file_error(path: str, error: OSError) -> InvalidError:
     return InvalidError(
         FailureReason.BAD_REQUEST, f"cannot use {path}: {error.strerror}", field=path
     )
--- a/src/bankrudder/cli/_logs.py
+++ b/src/bankrudder/cli/_logs.py
@@ -1,4 +1,7 @@
-"""Following an id through the logs of several hosts."""
+"""Search for an identifier in the logs of several hosts.
+
+A line that is not a JSON object, such as a truncated one, is skipped.
+"""
 
 import argparse
 from collections.abc import Iterable, Mapping
@@ -10,64 +13,67 @@
 from bankrudder.cli._output import Output
 
 ID_FIELDS = ("request", "batch", "sample", "call", "content")
-"""Fields of a line that name what it is about."""
+"""Fields of a log line that hold the identifiers which can be searched for."""
 
-_SHOWN_FIRST = ("timestamp", "logged_by", "level", "event")
+_LEADING_FIELDS = ("timestamp", "logged_by", "level", "event")
 
 Line = Mapping[str, object]
 
 
 async def find(arguments: argparse.Namespace, output: Output) -> ExitCode:
-    """Print all lines about an id, and about the batch that it belongs to."""
-    lines = [line for name in arguments.files for line in _lines_of(read_file(name))]
+    """Print the log lines about an identifier; fail if there are none."""
+    lines = [line for name in arguments.files for line in _parse_lines(read_file(name))]
     found = lines_about(arguments.id, lines)
-    output.value([dict(line) for line in found], [_shown(line) for line in found])
+    output.value([dict(line) for line in found], [_format_line(line) for line in found])
     return ExitCode.OK if found else ExitCode.FAILED
 
 
-def lines_about(wanted: str, lines: Iterable[Line]) -> list[Line]:
-    """Return the lines about `wanted` and its batch, in the order of their times.
+def lines_about(searched_id: str, lines: Iterable[Line]) -> list[Line]:
+    """Return the lines about `searched_id`, sorted by their timestamps.
 
-    Lines about other samples of the batch are left out, and of the lines about the same
-    content those about other requests.
+    For a sample, they include the lines about its batch as a whole, but not those
+    about other samples. For a request, they include the lines about its content, but
+    not those about other requests with the same content.
     """
     lines = list(lines)
-    direct = [line for line in lines if _is_about(line, wanted)]
-    batches = {line["batch"] for line in direct if "batch" in line and "sample" in line}
-    contents = {line["content"] for line in direct if "content" in line}
-    whole = [line for line in lines if _is_of_all(line, batches, contents)]
-    found = {id(line): line for line in [*direct, *whole]}
+    matches = [line for line in lines if _is_about(line, searched_id)]
+    batch_ids = {
+        line["batch"] for line in matches if "batch" in line and "sample" in line
+    }
+    content_ids = {line["content"] for line in matches if "content" in line}
+    shared = [line for line in lines if _is_shared(line, batch_ids, content_ids)]
+    found = {id(line): line for line in [*matches, *shared]}
     return sorted(found.values(), key=lambda line: str(line.get("timestamp", "")))
 
 
-def _is_about(line: Line, wanted: str) -> bool:
-    return any(line.get(field) == wanted for field in ID_FIELDS)
+def _is_about(line: Line, searched_id: str) -> bool:
+    return any(line.get(field) == searched_id for field in ID_FIELDS)
 
 
-def _is_of_all(line: Line, batches: set[object], contents: set[object]) -> bool:
-    """Whether a line is about a whole batch, or about whoever asks a content."""
+def _is_shared(line: Line, batch_ids: set[object], content_ids: set[object]) -> bool:
+    """Return whether a line is about a batch as a whole, or a content in general."""
     if "sample" in line or "request" in line:
         return False
-    return line.get("batch") in batches or line.get("content") in contents
+    return line.get("batch") in batch_ids or line.get("content") in content_ids
 
 
-def _lines_of(data: bytes) -> Iterable[Line]:
+def _parse_lines(data: bytes) -> Iterable[Line]:
     for text in data.splitlines():
-        # A collector may write something in front of the line.
+        # Log collectors may put a prefix before the JSON object.
         _, brace, rest = text.partition(b"{")
         if not brace:
             continue
         try:
             line = msgspec.json.decode(brace + rest)
         except msgspec.DecodeError:
-            continue  # a line that was cut, or one of another program
+            continue  # a truncated line, or one of another program
         if isinstance(line, dict):
             yield line
 
 
-def _shown(line: Line) -> str:
-    first = " ".join(str(line.get(field, "-")) for field in _SHOWN_FIRST)
+def _format_line(line: Line) -> str:
+    first = " ".join(str(line.get(field, "-")) for field in _LEADING_FIELDS)
     rest = " ".join(
-        f"{name}={value}" for name, value in line.items() if name not in _SHOWN_FIRST
+        f"{name}={value}" for name, value in line.items() if name not in _LEADING_FIELDS
     )
     return f"{first} {rest}".rstrip()
--- a/src/bankrudder/cli/_output.py
+++ b/src/bankrudder/cli/_output.py
@@ -1,4 +1,4 @@
-"""What the command writes: lines for a person, or JSON."""
+"""Output of the command: text, or JSON with ``--json``."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -33,7 +33,7 @@
         self._as_json = as_json
 
     def value(self, value: Any, lines: Iterable[str]) -> None:
-        """Write `value` as JSON, or `lines` for a person."""
+        """Write a result: `value` with ``--json``, otherwise `lines`."""
         if self._as_json:
             print(msgspec.json.encode(value).decode())
             return
@@ -41,11 +41,11 @@
             print(line)
 
     def text(self, text: str) -> None:
-        """Write a document as it is."""
+        """Write a document unchanged."""
         sys.stdout.write(text)
 
     def note(self, value: Any, line: str) -> None:
-        """Write what is no result, to standard error."""
+        """Write a message that is not part of the result to standard error."""
         text = msgspec.json.encode(value).decode() if self._as_json else line
         print(text, file=sys.stderr)
 
@@ -58,12 +58,12 @@
         if failure.detail:
             lines += failure.detail.split("; ")
         if failure.retry_after_s is not None:
-            lines.append(f"come back in {failure.retry_after_s:g} s")
+            lines.append(f"retry in {failure.retry_after_s:g} s")
         print("\n  ".join(lines), file=sys.stderr)
 
 
 def applied_lines(applied: Applied) -> list[str]:
-    """Return what an operator reads after an apply."""
+    """Return the text for the result of an apply."""
     if applied.accepted:
         return [f"revision {applied.revision} accepted"]
     return [
@@ -73,7 +73,7 @@
 
 
 def difference_lines(change: ConfigurationDifference) -> list[str]:
-    """Return one line for each entry that is new, changed or gone."""
+    """Return one line for each entry that is new, changed or removed."""
     lines = []
     for section in Configuration.__struct_fields__:
         for name in getattr(change.removed, section):
@@ -84,23 +84,26 @@
 
 
 def status_lines(nodes: Sequence[NodeReport], endpoints: bool) -> list[str]:
-    """Return a table of nodes, and of the endpoints that the first one sees."""
-    lines = _table([NODE_COLUMNS, *(_node_row(node) for node in nodes)])
+    """Return a table of nodes, with `endpoints` followed by one of endpoints.
+
+    Only the node that answers the request reports its endpoints.
+    """
+    lines = _format_table([NODE_COLUMNS, *(_node_row(node) for node in nodes)])
     if endpoints:
-        lines += ["", *_table([ENDPOINT_COLUMNS, *_endpoint_rows(nodes)])]
+        lines += ["", *_format_table([ENDPOINT_COLUMNS, *_endpoint_rows(nodes)])]
     return lines
 
 
 def usage_table_lines(windows: Sequence[UsageReport]) -> list[str]:
     """Return a table with a row for each window and workspace."""
     rows: list[tuple[str, ...]] = []
-    for each in windows:
-        counts = sorted(each.counts.items()) or [("", 0)]
+    for usage_window in windows:
+        counts = sorted(usage_window.counts.items()) or [("", 0)]
         rows += [
-            (str(each.window), each.state, workspace, str(count))
+            (str(usage_window.window), usage_window.state, workspace, str(count))
             for workspace, count in counts
         ]
-    return _table([USAGE_COLUMNS, *rows])
+    return _format_table([USAGE_COLUMNS, *rows])
 
 
 def _node_row(node: NodeReport) -> tuple[str, ...]:
@@ -137,7 +140,7 @@
     ]
 
 
-def _table(rows: Sequence[Sequence[str]]) -> list[str]:
+def _format_table(rows: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         COLUMN_GAP.join(
--- a/src/bankrudder/cli/_parser.py
+++ b/src/bankrudder/cli/_parser.py
@@ -1,4 +1,4 @@
-"""The command line: subcommands, options and their help."""
+"""The argument parser: subcommands, options and their help."""
 
 import argparse
 from collections.abc import Callable
@@ -25,7 +25,7 @@
   echo '{"lease": 7}' | bankrudder call quote-desk --method quote \\
       --entry 10.10.1.11:7000 --token-file desk.token --data-class lease
 
-The entry is the ip:port where any node listens for callers and operators.
+The entry is the ip:port on which a node accepts callers and operators.
 """
 
 
@@ -33,13 +33,13 @@
     """Return the parser; each subcommand sets ``run`` to its `Command`."""
     parser = argparse.ArgumentParser(
         prog="bankrudder",
-        description="Configure, watch and try out a bankrudder system.",
+        description="Configure, monitor and test a bankrudder system.",
         epilog=f"{_EXAMPLES}\n{EXIT_CODES_HELP}",
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     subparsers = parser.add_subparsers(metavar="COMMAND", required=True)
 
-    def add(
+    def add_subparser(
         name: str, command: Command, summary: str, *, entry: bool = True
     ) -> argparse.ArgumentParser:
         parents = [_common_options(), *([_entry_options()] if entry else [])]
@@ -54,127 +54,157 @@
         subparser.set_defaults(run=command)
         return subparser
 
-    _add_configuring(add)
-    _add_reading(add)
-    _add_operation(add)
-    _add_trials(add)
-    _add_logs(add)
+    _add_configuration_commands(add_subparser)
+    _add_query_commands(add_subparser)
+    _add_operation_commands(add_subparser)
+    _add_client_commands(add_subparser)
+    _add_log_commands(add_subparser)
     return parser
 
 
-Add = Callable[..., argparse.ArgumentParser]
+AddSubparser = Callable[..., argparse.ArgumentParser]
 
 
-def _add_logs(add: Add) -> None:
-    find = add(
-        "find", _logs.find, "follow an id through the logs of hosts", entry=False
+def _add_log_commands(add_subparser: AddSubparser) -> None:
+    find = add_subparser(
+        "find", _logs.find, "search the logs of hosts for an ID", entry=False
     )
-    find.add_argument("id", metavar="ID", help="of a request, a batch or a sample")
     find.add_argument(
-        "files", metavar="LOG", nargs="+", help="logs of hosts; - for stdin"
+        "id",
+        metavar="ID",
+        help="ID of a request, a batch, a sample, a call or a content",
+    )
+    find.add_argument(
+        "files", metavar="LOG", nargs="+", help="log files of hosts; - for stdin"
     )
 
 
-def _add_configuring(add: Add) -> None:
-    check = add("check", _commands.check_file, "check a file, offline", entry=False)
-    check.add_argument("file", metavar="FILE", help="a configuration; - for stdin")
+def _add_configuration_commands(add_subparser: AddSubparser) -> None:
+    check = add_subparser(
+        "check",
+        _commands.check_file,
+        "validate a file without contacting a node",
+        entry=False,
+    )
+    check.add_argument("file", metavar="FILE", help="configuration file; - for stdin")
     check.add_argument(
-        "--settings", action="store_true", help="the file holds settings of a node"
+        "--settings", action="store_true", help="FILE holds the settings of a node"
     )
 
-    apply = add("apply", _commands.apply, "replace the configuration")
-    apply.add_argument("file", metavar="FILE", help="a configuration; - for stdin")
+    apply = add_subparser("apply", _commands.apply, "replace the configuration")
+    apply.add_argument("file", metavar="FILE", help="configuration file; - for stdin")
     apply.add_argument(
         "--base-revision",
-        type=_count,
+        type=_parse_count,
         metavar="N",
-        help="the revision that FILE was made from (default: the newest, so that a "
-        "change which you have not seen is overwritten)",
+        help="revision that FILE is based on (default: the newest one, which may "
+        "overwrite a change that FILE does not contain)",
     )
     apply.add_argument(
         "--wait",
-        type=_seconds,
+        type=_parse_seconds,
         default=0.0,
         metavar="SECONDS",
-        help="ask again for so long until it is accepted",
+        help="retry for up to SECONDS until the revision is accepted",
     )
 
 
-def _add_reading(add: Add) -> None:
-    diff = add("diff", _commands.diff, "show what applying a file would change")
-    diff.add_argument("file", metavar="FILE", help="a configuration; - for stdin")
+def _add_query_commands(add_subparser: AddSubparser) -> None:
+    diff = add_subparser(
+        "diff", _commands.diff, "show what applying a file would change"
+    )
+    diff.add_argument("file", metavar="FILE", help="configuration file; - for stdin")
 
-    get = add("get", _commands.get, "print the configuration in force")
-    get.add_argument("--output", metavar="FILE", help="write it to FILE instead")
+    get = add_subparser("get", _commands.get, "print the configuration in force")
+    get.add_argument("--output", metavar="FILE", help="write to FILE instead of stdout")
     get.add_argument(
         "--revision",
-        type=_count,
+        type=_parse_count,
         default=0,
         metavar="N",
-        help="fail with 3 if the node holds a lower revision",
+        help="exit with 3 if the node has an older revision",
     )
     get.add_argument(
         "--wait",
-        type=_seconds,
+        type=_parse_seconds,
         default=0.0,
         metavar="SECONDS",
-        help="ask again for so long until the node holds --revision",
+        help="retry for up to SECONDS until the node has --revision",
     )
 
-    schema = add("schema", _commands.schema, "print a JSON Schema", entry=False)
+    schema = add_subparser(
+        "schema", _commands.schema, "print a JSON Schema", entry=False
+    )
     schema.add_argument("document", choices=("configuration", "settings"))
 
 
-def _add_operation(add: Add) -> None:
-    status = add("status", _commands.status, "show a node, or all of them")
-    status.add_argument("--all", action="store_true", help="tell of all hosts")
-    status.add_argument("--endpoints", action="store_true", help="list endpoints too")
+def _add_operation_commands(add_subparser: AddSubparser) -> None:
+    status = add_subparser(
+        "status", _commands.status, "show the state of one node or all"
+    )
+    status.add_argument(
+        "--all", action="store_true", help="show the nodes of all hosts"
+    )
+    status.add_argument("--endpoints", action="store_true", help="also list endpoints")
 
-    usage = add("usage", _commands.usage, "show what workspaces used")
+    usage = add_subparser("usage", _commands.usage, "show the usage of workspaces")
     usage.add_argument(
         "--windows",
-        type=_count,
+        type=_parse_count,
         default=0,
         metavar="N",
-        help="the newest N windows (default: those of about a minute)",
+        help="show the newest N windows (default: about a minute)",
     )
 
-    drain = add("drain", _commands.drain, "stop a node gracefully", entry=False)
-    drain.add_argument("host_address", type=_address, metavar="HOST-ADDRESS")
-    _add_token_options(drain)
+    drain = add_subparser(
+        "drain", _commands.drain, "shut down a node gracefully", entry=False
+    )
+    drain.add_argument("host_address", type=_parse_address, metavar="HOST-ADDRESS")
+    _add_connection_options(drain)
 
-    trace = add("trace", _commands.trace, "print the finished spans of a trace")
+    trace = add_subparser(
+        "trace", _commands.trace, "print the finished spans of a trace"
+    )
     trace.add_argument("trace_id", metavar="ID", help="32 hexadecimal digits")
 
 
-def _add_trials(add: Add) -> None:
-    call = add("call", _calls.call, "make one call as the token's caller")
+def _add_client_commands(add_subparser: AddSubparser) -> None:
+    call = add_subparser(
+        "call", _calls.call, "make one call as the caller with the token"
+    )
     call.add_argument("pool", metavar="POOL")
-    call.add_argument("--method", default="", help="method of a plain service")
+    call.add_argument("--method", default="", help="method of a service")
     call.add_argument(
-        "--payload", default="-", metavar="FILE", help="its payload (default: stdin)"
+        "--payload",
+        default="-",
+        metavar="FILE",
+        help="payload of the call (default: stdin)",
     )
     call.add_argument("--data-class", default="", metavar="NAME")
     call.add_argument(
         "--key",
         metavar="UUID",
-        help="idempotency key, a UUID of version 7 (default: a new one)",
+        help="idempotency key, a version 7 UUID (default: a new one)",
     )
-    call.add_argument("--max-tokens", type=_count, default=0, metavar="N")
+    call.add_argument("--max-tokens", type=_parse_count, default=0, metavar="N")
 
-    step = add("step", _calls.step, "run one step as the token's trainer")
+    step = add_subparser(
+        "step", _calls.step, "run one step as the trainer with the token"
+    )
     step.add_argument("job", metavar="JOB")
-    step.add_argument("--step", type=_count, required=True, metavar="N")
+    step.add_argument("--step", type=_parse_count, required=True, metavar="N")
     step.add_argument(
-        "--prompts", required=True, metavar="FILE", help="one prompt a line"
+        "--prompts", required=True, metavar="FILE", help="file with one prompt per line"
     )
-    step.add_argument("--samples-per-group", type=_count, default=1, metavar="N")
+    step.add_argument("--samples-per-group", type=_parse_count, default=1, metavar="N")
     step.add_argument("--data-class", default="", metavar="NAME")
 
 
 def _common_options() -> argparse.ArgumentParser:
     options = argparse.ArgumentParser(add_help=False)
-    options.add_argument("--json", action="store_true", help="write JSON")
+    options.add_argument(
+        "--json", action="store_true", help="write JSON instead of text"
+    )
     return options
 
 
@@ -182,16 +212,16 @@
     options = argparse.ArgumentParser(add_help=False)
     options.add_argument(
         "--entry",
-        type=_address,
+        type=_parse_address,
         required=True,
         metavar="ADDRESS",
         help="ip:port of a node",
     )
-    _add_token_options(options)
+    _add_connection_options(options)
     return options
 
 
-def _add_token_options(parser: argparse.ArgumentParser) -> None:
+def _add_connection_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         "--token-file", metavar="FILE", help="file that holds the bearer token"
     )
@@ -199,38 +229,40 @@
         "--ca", metavar="FILE", help="PEM certificates to trust (default: no TLS)"
     )
     parser.add_argument(
-        "--certificate", metavar="FILE", help="PEM certificate to show, for mutual TLS"
+        "--certificate", metavar="FILE", help="PEM client certificate for mutual TLS"
     )
     parser.add_argument(
         "--key-file", metavar="FILE", help="PEM private key of --certificate"
     )
     parser.add_argument(
         "--timeout",
-        type=_seconds,
+        type=_parse_seconds,
         default=DEFAULT_TIMEOUT_S,
         metavar="SECONDS",
-        help="longest wait for one reply (default: %(default)s)",
+        help="longest wait for a reply (default: %(default)s)",
     )
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     problem = address_error(text)
     if problem:
         raise argparse.ArgumentTypeError(f"{text!r}: {problem}")
     return Address(text)
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     if not text.isascii() or not text.isdigit():
-        raise argparse.ArgumentTypeError(f"{text!r}: allowed is a number from 0")
+        raise argparse.ArgumentTypeError(f"{text!r}: must be an integer, 0 or more")
     return int(text)
 
 
-def _seconds(text: str) -> float:
+def _parse_seconds(text: str) -> float:
     try:
         seconds = float(text)
     except ValueError:
         seconds = -1.0
     if not 0 <= seconds < float("inf"):
-        raise argparse.ArgumentTypeError(f"{text!r}: allowed are seconds from 0")
+        raise argparse.ArgumentTypeError(
+            f"{text!r}: must be a number of seconds, 0 or more"
+        )
     return seconds
--- a/src/bankrudder/cli/_tls.py
+++ b/src/bankrudder/cli/_tls.py
@@ -1,4 +1,4 @@
-"""TLS of the command line: whom to trust and what to show."""
+"""TLS credentials from the options of the command line."""
 
 import argparse
 
@@ -11,18 +11,18 @@
 
 
 def credentials_of(arguments: argparse.Namespace) -> grpc.ChannelCredentials | None:
-    """Return the credentials that the options name, None to connect in clear.
+    """Return the credentials that the options name, None without TLS.
 
     Raises
     ------
     InvalidError
-        If the options do not go together or a file cannot be read.
+        If an option of a set is missing, or a file cannot be read.
     """
     certificate, key = arguments.certificate or "", arguments.key_file or ""
     if bool(certificate) != bool(key) or (certificate and not arguments.ca):
         raise InvalidError(
             FailureReason.BAD_REQUEST,
-            "--certificate and --key-file go together, and with --ca",
+            "--certificate and --key-file require each other and --ca",
         )
     if not arguments.ca:
         return None
--- a/tests/cli/test_find.py
+++ b/tests/cli/test_find.py
@@ -1,4 +1,4 @@
-"""An id is followed through the logs of several hosts."""
+"""Tests of ``bankrudder find``, which searches the logs of several hosts."""
 
 import json
 
@@ -32,31 +32,31 @@
 ]
 
 
-def events(wanted):
-    return [line["timestamp"] for line in lines_about(wanted, LINES)]
+def timestamps_about(searched_id):
+    return [line["timestamp"] for line in lines_about(searched_id, LINES)]
 
 
-def test_a_sample_is_shown_with_its_batch_and_without_others():
-    assert events("s1") == ["1", "3"]
+def test_a_sample_is_shown_with_its_batch_but_without_other_samples():
+    assert timestamps_about("s1") == ["1", "3"]
 
 
 def test_a_batch_is_shown_with_all_its_samples():
-    assert events("b1") == ["1", "2", "3"]
+    assert timestamps_about("b1") == ["1", "2", "3"]
 
 
 def test_a_request_is_shown_alone():
-    assert events("q1") == ["2"]
+    assert timestamps_about("q1") == ["2"]
 
 
-def test_a_request_is_shown_with_what_is_known_of_its_content():
-    assert events("q2") == ["5", "6"]
+def test_a_request_is_shown_with_lines_about_its_content():
+    assert timestamps_about("q2") == ["5", "6"]
 
 
-def test_a_content_is_shown_with_all_attempts():
-    assert events("c") == ["5", "6", "7"]
+def test_a_content_is_shown_with_all_its_attempts():
+    assert timestamps_about("c") == ["5", "6", "7"]
 
 
-def test_logs_of_hosts_are_merged_and_other_lines_passed_over(tmp_path, capsys):
+def test_logs_of_hosts_are_merged_and_other_lines_are_skipped(tmp_path, capsys):
     first = tmp_path / "a.log"
     first.write_text(f"12.5 host-a {json.dumps(LINES[0])}\nTraceback\n{{cut")
     second = tmp_path / "b.log"
@@ -66,7 +66,7 @@
     assert [line.split()[0] for line in shown] == ["1", "3"]
 
 
-def test_an_id_without_lines_is_a_failure(tmp_path):
+def test_find_fails_if_no_line_has_the_id(tmp_path):
     log = tmp_path / "a.log"
     log.write_text("")
     assert main(["find", "none", str(log)]) == ExitCode.FAILED
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command against a gRPC server that answers as a node does."""
+"""Tests of the command against a gRPC server that answers like a node."""
 
 import json
 import socket
@@ -19,18 +19,18 @@
 ROOT = Path(__file__).parents[2]
 TASMAN = str(ROOT / "examples" / "tasman.json")
 TRACE_ID = "a1" * 16
-FAILING = "moon"
+REFUSED_POOL = "moon"
 
 
 def refuse(context, failure):
-    """End a call with a failure, as a node does."""
+    """End a request with a failure, in the format of a node."""
     trailer = (("bankrudder-failure-bin", failure.SerializeToString()),)
     context.set_trailing_metadata(trailer)
     context.abort(grpc.StatusCode.INVALID_ARGUMENT, "refused")
 
 
 class FakeCalls(pb_grpc.CallsServicer):
-    """Calls that answer with their payload, but to one pool."""
+    """Answers calls with their payload; refuses calls to `REFUSED_POOL`."""
 
     def __init__(self):
         self.traceparents = []
@@ -38,7 +38,7 @@
     def Call(self, request, context):  # noqa: N802
         metadata = dict(context.invocation_metadata())
         self.traceparents.append(metadata.get("traceparent", "none-none"))
-        if request.pool == FAILING:
+        if request.pool == REFUSED_POOL:
             failure = pb.Failure(kind=pb.FAILURE_KIND_INVALID, reason="unknown_pool")
             refuse(context, failure)
         chunk = pb.AnswerChunk(offset=0, data=request.payload)
@@ -48,7 +48,7 @@
 
 
 class FakeTrainers(pb_grpc.TrainersServicer):
-    """Steps of one sample."""
+    """Answers each step with one sample."""
 
     def OpenStep(self, request, context):  # noqa: N802
         span = pb.VersionSpan(version=4, events=2)
@@ -63,7 +63,7 @@
 
 
 class FakeNode(pb_grpc.OperatorsServicer):
-    """A node that holds revision 7 and answers applies from a list."""
+    """A node with revision 7 that answers applies from a list of replies."""
 
     def __init__(self):
         self.applied = []
@@ -141,14 +141,14 @@
     return pb.ApplyReply(revision=revision, pending_hosts=["entry-2"])
 
 
-def test_check_says_that_a_file_is_right(capsys):
+def test_check_reports_a_valid_file(capsys):
     assert main(["check", TASMAN]) == ExitCode.OK
     node_file = str(ROOT / "examples" / "node.json")
     assert main(["check", "--settings", node_file]) == ExitCode.OK
-    assert capsys.readouterr().out.count("is right") == 2
+    assert capsys.readouterr().out.count("is valid") == 2
 
 
-def test_check_names_the_wrong_field(tmp_path, capsys):
+def test_check_names_the_invalid_field(tmp_path, capsys):
     file = tmp_path / "wrong.json"
     file.write_text('{"jobs": 3}')
     assert main(["check", "--json", str(file)]) == ExitCode.WRONG_INPUT
@@ -164,7 +164,7 @@
 
 
 def test_apply_waits_until_it_is_accepted(node, run, monkeypatch):
-    monkeypatch.setattr("bankrudder.cli._commands.PAUSE_S", 0.0)
+    monkeypatch.setattr("bankrudder.cli._commands.POLL_INTERVAL_S", 0.0)
     node.apply_replies = [pending(6), pending(6), accepted(6)]
     code = run("apply", TASMAN, "--base-revision", "5", "--wait", "60")
     assert code == ExitCode.OK
@@ -177,7 +177,7 @@
     assert json.loads(capsys.readouterr().out)["pending_hosts"] == ["entry-2"]
 
 
-def test_a_lost_race_is_a_conflict(node, run, capsys):
+def test_apply_to_an_outdated_base_revision_is_a_conflict(node, run, capsys):
     node.apply_replies = [
         pb.Failure(
             kind=pb.FAILURE_KIND_INVALID,
@@ -189,7 +189,7 @@
     assert "the newest revision is 9" in capsys.readouterr().err
 
 
-def test_a_wrong_file_is_not_sent(node, run, tmp_path):
+def test_an_invalid_file_is_not_sent(node, run, tmp_path):
     file = tmp_path / "wrong.json"
     file.write_text("{}")
     assert run("apply", str(file)) == ExitCode.WRONG_INPUT
@@ -215,7 +215,7 @@
     assert (len(lines), '"max_staleness":3' in lines[2]) == (3, True)
 
 
-def test_status_fails_if_a_host_is_taken_for_dead(run, capsys):
+def test_status_fails_if_a_host_is_unreachable(run, capsys):
     assert run("status", "--endpoints") == ExitCode.OK
     assert run("status", "--all") == ExitCode.FAILED
     assert "its heartbeats stopped" in capsys.readouterr().out
@@ -242,28 +242,28 @@
     assert run("trace", "b2" * 16, "--json") == ExitCode.FAILED
 
 
-def test_an_empty_trace_and_a_wrong_id_are_told_apart(run, capsys):
+def test_a_trace_without_spans_and_an_invalid_id_have_different_errors(run, capsys):
     run("trace", "b2" * 16)
     assert "no host holds" in capsys.readouterr().err
     assert run("trace", "zz") == ExitCode.WRONG_INPUT
     assert "32 lower-case hexadecimal" in capsys.readouterr().err
 
 
-def test_without_a_connection_nothing_was_run(tmp_path, capsys, monkeypatch):
+def test_without_a_connection_the_failure_is_not_run(tmp_path, capsys, monkeypatch):
     monkeypatch.setattr("bankrudder.client._operator.CONNECT_TIMEOUT_S", 0.2)
     token = tmp_path / "token"
     token.write_text("secret")
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{unused.getsockname()[1]}"
-        to = ["--entry", address, "--token-file", str(token)]
-        assert main(["get", *to]) == ExitCode.FAILED
-        code = main(["apply", TASMAN, "--base-revision", "7", *to])
+        connection_options = ["--entry", address, "--token-file", str(token)]
+        assert main(["get", *connection_options]) == ExitCode.FAILED
+        code = main(["apply", TASMAN, "--base-revision", "7", *connection_options])
         assert code == ExitCode.FAILED
         assert capsys.readouterr().err.count("not_run: node_unreachable") == 2
 
 
-def test_a_call_prints_the_whole_answer(run, tmp_path, capsys):
+def test_a_call_prints_the_complete_answer(run, tmp_path, capsys):
     payload = tmp_path / "payload"
     payload.write_text("a lease of a press")
     code = run("call", "quotes", "--payload", str(payload), "--data-class", "lease")
@@ -272,8 +272,8 @@
     assert (lines[0], lines[-1]) == ("a lease of a press", "versions 4")
 
 
-@pytest.mark.parametrize("pool", ["quotes", FAILING])
-def test_a_call_tells_the_trace_that_it_is_made_under(run, tmp_path, capsys, pool):
+@pytest.mark.parametrize("pool", ["quotes", REFUSED_POOL])
+def test_a_call_prints_its_trace_id(run, tmp_path, capsys, pool):
     payload = tmp_path / "payload"
     payload.write_bytes(b"p")
     run("call", pool, "--payload", str(payload))
@@ -288,7 +288,7 @@
     assert "0.0 versions 4: risk of a press" in capsys.readouterr().out
 
 
-def test_a_broken_reply_to_a_change_leaves_it_unknown(run, capsys):
+def test_a_broken_reply_to_a_change_is_outcome_unknown(run, capsys):
     assert run("apply", TASMAN) == ExitCode.FAILED
     assert "outcome_unknown" in capsys.readouterr().err
 
@@ -303,14 +303,14 @@
         ["schema", "poem"],
     ],
 )
-def test_wrong_arguments_exit_with_2(arguments, capsys):
+def test_invalid_arguments_exit_with_2(arguments, capsys):
     with pytest.raises(SystemExit) as raised:
         main(arguments)
     assert raised.value.code == ExitCode.WRONG_INPUT
     assert "usage: bankrudder" in capsys.readouterr().err
 
 
-def test_a_token_is_needed(capsys):
+def test_a_token_is_required(capsys):
     code = main(["get", "--entry", "127.0.0.1:1"])
     assert code == ExitCode.WRONG_INPUT
     assert "--token-file" in capsys.readouterr().err
@@ -344,7 +344,7 @@
         ["--ca", "missing.pem"],
     ],
 )
-def test_tls_options_that_do_not_go_together_are_wrong_input(options, tmp_path):
+def test_invalid_tls_options_are_wrong_input(options, tmp_path):
     token = tmp_path / "token"
     token.write_text("t")
     entry = ["--entry", "127.0.0.1:1", "--token-file", str(token)]
