--- a/src/bankrudder/client/_trainer.py
+++ b/src/bankrudder/client/_trainer.py
@@ -281,7 +281,10 @@
         self._addresses.append(self._addresses.pop(0))
 
     async def _fail_over(self, backoff: "_Backoff", error: BankrudderError) -> None:
-        """Switch to another entry node and wait; raise `error` if it is final."""
+        """Switch to another entry node and wait.
+
+        Raises `error` if retries time out, or if a message was too large.
+        """
         if backoff.is_timed_out or error.failure.reason is FailureReason.TOO_LARGE:
             raise error
         allowed = [Address(address) for address in error.failure.allowed_addresses]
