--- a/src/bankrudder/store/__init__.py
+++ b/src/bankrudder/store/__init__.py
@@ -1,4 +1,4 @@
-"""The store that holds all that must last: its port, and safe ways to use it."""
+"""The durable store: its interface, and helpers that handle its failures."""
 
 from bankrudder.store._errors import (
     HistoryLostError,
--- a/src/bankrudder/store/_errors.py
+++ b/src/bankrudder/store/_errors.py
@@ -1,19 +1,19 @@
-"""Failures of reads from the store."""
+"""Exceptions of calls to the store."""
 
 from bankrudder.store._values import StoreTrouble
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer a read; the reader knows nothing new."""
+    """The store gave no result; ``trouble`` tells why."""
 
     def __init__(self, trouble: StoreTrouble):
-        super().__init__(f"the store gave no result: {trouble.value}")
+        super().__init__(f"store call gave no result: {trouble.value}")
         self.trouble = trouble
 
 
 class HistoryLostError(Exception):
-    """The changes that were asked for are no longer kept: read all anew."""
+    """The store no longer keeps the requested changes; all rows must be read again."""
 
 
 class NotSettledError(Exception):
-    """A transaction's outcome could not be found out in time."""
+    """The outcome of a transaction was still unknown when the time limit passed."""
--- a/src/bankrudder/store/_failures.py
+++ b/src/bankrudder/store/_failures.py
@@ -1,4 +1,4 @@
-"""What troubles of the store mean to whoever asked for a change."""
+"""Translation of store errors into the errors that a caller receives."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -9,22 +9,22 @@
 
 
 @contextmanager
-def told_as_failures(unsettled: str, retry_after_s: float) -> Iterator[None]:
-    """Raise what the caller is to be told if the store does not serve the block.
+def told_as_failures(unknown_detail: str, retry_after_s: float) -> Iterator[None]:
+    """Translate store errors of the ``with`` block into errors for the caller.
 
     Parameters
     ----------
-    unsettled : str
-        What to say if the change may have been made.
+    unknown_detail : str
+        Detail of the error if the change may have been made.
     retry_after_s : float
-        Seconds after which to come back.
+        Seconds after which the caller may retry.
 
     Raises
     ------
     NotRunError
-        If nothing was changed and nothing will be.
+        If the change was not made and will not be.
     OutcomeUnknownError
-        If that is not known.
+        If it is unknown whether the change was made.
     """
     reason = FailureReason.STORE_UNAVAILABLE
     try:
@@ -35,5 +35,5 @@
         ) from None
     except NotSettledError:
         raise OutcomeUnknownError(
-            reason, unsettled, retry_after_s=retry_after_s
+            reason, unknown_detail, retry_after_s=retry_after_s
         ) from None
--- a/src/bankrudder/store/_following.py
+++ b/src/bankrudder/store/_following.py
@@ -1,4 +1,4 @@
-"""Following a table: all rows first, then the changes, and all rows anew on a gap."""
+"""Follows a table: reads all rows, then the change feed, and all rows after a gap."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,29 +11,27 @@
 from bankrudder.world import Clock
 
 WAIT_S = 0.8
-"""Time for which the store may hold a read of the feed, in seconds. A connection that
-fell silent is noticed this long and the read's own time later; together they stay
-under the two seconds in which a configuration must be in force."""
+"""Time for which the store may hold a read of the feed while nothing changes. A
+connection that went silent is detected after this time plus the timeout of the read;
+the sum stays below the two seconds in which a configuration must be in force."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause after a failed read. Calls wait by themselves while the store is away, so this
-paces only reads that are refused or lost one by one."""
+"""Pause after a failed read. During an outage `RecoveringStore` delays the calls, so
+this pause matters only for single reads that are refused or lost."""
 
 _log = structlog.get_logger("store")
 
 
 class TableFollower:
-    """Keeps a copy of one table and tells of each change.
+    """Calls back for each change of one table.
 
     Parameters
     ----------
     on_row, on_removed : callable
-        Called in the order of the store's transactions, also for rows of the
-        first whole read.
-    on_current : callable, optional
-        Called after each successful read, with nothing.
+        Called in the order of the store's transactions, also for the rows of the
+        initial full read.
     pause_s : callable
-        Pause between two reads: what it costs in delay, it saves in calls when
+        Pause between two reads. A longer pause delays changes and saves calls when
         rows change often.
     wait_s : callable
         Time for which the store may hold a read while nothing changes.
@@ -57,49 +55,49 @@
         self._on_removed = on_removed
         self._pause_s = pause_s
         self._wait_s = wait_s
-        self._known: dict[RowKey, RowVersion] = {}
+        self._known_versions: dict[RowKey, RowVersion] = {}
         self._read_version = ABSENT
         self._last_read_at: float | None = None
-        self._lost_since: float | None = None
-        self._regained_at: float | None = None
+        self._failing_since: float | None = None
+        self._recovered_at: float | None = None
         self._first_read_at = 0.0
 
     @property
     def is_loaded(self) -> bool:
-        """Whether all rows were read once."""
+        """Whether all rows have been read at least once."""
         return self._last_read_at is not None
 
     @property
     def read_version(self) -> RowVersion:
-        """Version of the store up to which all rows are known."""
+        """Version of the store up to which all changes are known."""
         return self._read_version
 
     @property
     def last_read_at(self) -> float | None:
-        """Monotonic time of the last read that succeeded."""
+        """Monotonic time of the last successful read, None before the first one."""
         return self._last_read_at
 
     @property
     def lost_since(self) -> float | None:
-        """Monotonic time of the first failed read in a row, None if it works."""
-        return self._lost_since
+        """Monotonic time since when reads fail, None if the last read succeeded."""
+        return self._failing_since
 
     @property
     def regained_at(self) -> float | None:
-        """Monotonic time at which reads worked again after the last outage."""
-        return self._regained_at
+        """Monotonic time of the first successful read after the last failed ones."""
+        return self._recovered_at
 
     def current_for_s(self) -> float:
-        """Return the seconds for which no read has failed, 0 before the first one."""
-        if self._last_read_at is None or self._lost_since is not None:
+        """Return the seconds for which no read has failed, 0 before the first read."""
+        if self._last_read_at is None or self._failing_since is not None:
             return 0.0
-        since = self._regained_at
+        since = self._recovered_at
         if since is None:
             since = self._first_read_at
         return self._clock.monotonic() - since
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the table until cancelled."""
         version: RowVersion | None = None
         while True:
             try:
@@ -110,7 +108,9 @@
                 self._read_version = version
                 self._note_success()
             except HistoryLostError:
-                _log.warning("store: history lost, reading anew", table=self._table)
+                _log.warning(
+                    "store: change history lost, reading all rows", table=self._table
+                )
                 version = None
                 continue
             except StoreUnavailableError as error:
@@ -121,31 +121,31 @@
                 await asyncio.sleep(pause_s)
 
     async def refresh(self) -> None:
-        """Take the rows that are in the store now; removals come with the following.
+        """Read all rows now; `run` still reports removals, by way of the feed.
 
         Raises
         ------
         StoreUnavailableError
-            If they cannot be read.
+            If the rows cannot be read.
         """
-        await self._take_all()
+        await self._apply_all_rows()
 
     async def refresh_row(self, key: RowKey) -> None:
-        """Take one row as it is in the store now; raises as `refresh`."""
+        """Read one row now; raises the same error as `refresh`."""
         page = await self._store.read(key.table, key.part, key.key, key.key + "\0")
         for row in page.rows:
-            self._take(row)
+            self._apply_row(row)
 
     async def _read_all(self) -> RowVersion:
-        # The version is read first: what changes during the reads comes again.
+        # The version is read first, so that the feed repeats changes made meanwhile.
         version = (await self._store.read(self._table, "", limit=1)).version
-        found = await self._take_all()
-        for key in [key for key in self._known if key not in found]:
-            self._drop(key)
+        found = await self._apply_all_rows()
+        for key in [key for key in self._known_versions if key not in found]:
+            self._apply_removal(key)
         return version
 
-    async def _take_all(self) -> set[RowKey]:
-        """Take all rows; return their keys."""
+    async def _apply_all_rows(self) -> set[RowKey]:
+        """Read and apply all rows; return their keys."""
         found: set[RowKey] = set()
         for part in await self._store.parts(self._table):
             start = ""
@@ -153,7 +153,7 @@
                 page = await self._store.read(self._table, part, start)
                 for row in page.rows:
                     found.add(row.key)
-                    self._take(row)
+                    self._apply_row(row)
                 if not page.has_more:
                     break
                 start = page.rows[-1].key.key + "\0"
@@ -164,34 +164,34 @@
         for change in changes.changes:
             match change:
                 case Row():
-                    self._take(change)
+                    self._apply_row(change)
                 case RemovedRow():
-                    self._drop(change.key)
+                    self._apply_removal(change.key)
         return changes.version
 
-    def _take(self, row: Row) -> None:
-        if self._known.get(row.key, 0) >= row.version:
+    def _apply_row(self, row: Row) -> None:
+        if self._known_versions.get(row.key, 0) >= row.version:
             return
-        self._known[row.key] = row.version
+        self._known_versions[row.key] = row.version
         self._on_row(row)
 
-    def _drop(self, key: RowKey) -> None:
-        if self._known.pop(key, None) is not None:
+    def _apply_removal(self, key: RowKey) -> None:
+        if self._known_versions.pop(key, None) is not None:
             self._on_removed(key)
 
     def _note_success(self) -> None:
         if self._last_read_at is None:
             self._first_read_at = self._clock.monotonic()
         self._last_read_at = self._clock.monotonic()
-        if self._lost_since is not None:
-            self._regained_at = self._last_read_at
-            away_s = round(self._last_read_at - self._lost_since, 3)
+        if self._failing_since is not None:
+            self._recovered_at = self._last_read_at
+            away_s = round(self._last_read_at - self._failing_since, 3)
             _log.info("store: reads work again", table=self._table, away_s=away_s)
-            self._lost_since = None
+            self._failing_since = None
 
     def _note_failure(self, error: StoreUnavailableError) -> None:
-        if self._lost_since is None:
-            self._lost_since = self._clock.monotonic()
+        if self._failing_since is None:
+            self._failing_since = self._clock.monotonic()
             _log.warning(
                 "store: reads fail", table=self._table, reason=error.trouble.value
             )
--- a/src/bankrudder/store/_measured.py
+++ b/src/bankrudder/store/_measured.py
@@ -1,4 +1,4 @@
-"""A store whose calls are timed."""
+"""A store wrapper that measures the duration and outcome of each call."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -20,14 +20,14 @@
 
 Result = TypeVar("Result")
 
-Record = Callable[[str, str, float], None]
-"""Takes the name of a call, its outcome, and the seconds that it took."""
+RecordCall = Callable[[str, str, float], None]
+"""Takes the name of a call, its outcome, and its duration in seconds."""
 
 
 class MeasuredStore:
-    """Passes all calls on to `store` and tells `record` of each."""
+    """Forwards all calls to `store` and reports each to `record`."""
 
-    def __init__(self, store: Store, clock: Clock, record: Record):
+    def __init__(self, store: Store, clock: Clock, record: RecordCall):
         self._store = store
         self._clock = clock
         self._record = record
--- a/src/bankrudder/store/_outages.py
+++ b/src/bankrudder/store/_outages.py
@@ -1,47 +1,50 @@
-"""Telling an outage of the store from a call that failed alone.
+"""Distinguishes an outage of the store from a single failed call.
 
-Pattern: the store falls silent for all or some hosts, for seconds, and comes back while
-results wait to be listed, batches to be accepted and engines to be ordered. What each
-caller finds out alone, by timeouts and growing pauses, takes it up to 1.2 seconds after
-the return. Here all calls of a host share what any of them found out: the first answer
-to a call that began after the failures ends the outage for all.
+The store can stop answering all or some hosts for seconds, and return while results
+wait to be listed, batches to be accepted and engines to be ordered. A caller that
+detects the return on its own, by timeouts and growing pauses, needs up to 1.2 seconds
+after it. Therefore all calls of a host share one detector: the first answer to a call
+that began after the failures ends the outage for all calls.
 """
 
 from dataclasses import dataclass
 
-FAILURES = 2
-"""Failures in a row, without an answer to a call begun since, that make an outage: one
-may be a single lost reply, of which there are many on some days."""
+OUTAGE_FAILURE_COUNT = 2
+"""Consecutive failures, with no answer to a later call, that count as an outage. One
+failure may be a single lost reply, of which there are many on some days."""
 
 
 @dataclass(frozen=True)
 class OutageBegan:
-    """Calls should wait for the store's return."""
+    """An outage was detected; calls wait until the store answers again."""
 
 
 @dataclass(frozen=True)
 class OutageEnded:
-    """The store answers again; what began before `since` and hangs will not end."""
+    """The store answers again.
 
-    since: float
+    Calls that began before `answered_call_began` and have no answer yet will get none.
+    """
+
+    answered_call_began: float
 
 
 class OutageDetector:
-    """Follows the outcomes of one host's calls; times are of its steady clock."""
+    """Derives outages from the outcomes of one host's calls, by monotonic times."""
 
     def __init__(self) -> None:
-        self._answered_begin = float("-inf")
+        self._last_answered_began = float("-inf")
         self._failures = 0
         self._is_out = False
 
     @property
     def is_out(self) -> bool:
-        """Whether the store is taken to be away from this host."""
+        """Whether this host currently has an outage of the store."""
         return self._is_out
 
     def note_answer(self, began: float) -> OutageEnded | None:
-        """Note an answer to a call that began at some time."""
-        self._answered_begin = max(self._answered_begin, began)
+        """Record an answer to a call that began at the monotonic time `began`."""
+        self._last_answered_began = max(self._last_answered_began, began)
         self._failures = 0
         if not self._is_out:
             return None
@@ -49,11 +52,11 @@
         return OutageEnded(began)
 
     def note_failure(self, began: float) -> OutageBegan | None:
-        """Note that a call ended without one, unless a later one was answered."""
-        if began <= self._answered_begin:
+        """Record a call without an answer; ignored if a later call was answered."""
+        if began <= self._last_answered_began:
             return None
         self._failures += 1
-        if self._is_out or self._failures < FAILURES:
+        if self._is_out or self._failures < OUTAGE_FAILURE_COUNT:
             return None
         self._is_out = True
         return OutageBegan()
--- a/src/bankrudder/store/_pace.py
+++ b/src/bankrudder/store/_pace.py
@@ -1,50 +1,52 @@
-"""How often a host may read, so that all hosts together stay within what is taken."""
+"""Limits how often a host reads, so that all hosts stay within the store's capacity."""
 
 from collections.abc import Callable
 
-USED_SHARE = 0.6
-"""Share of the store's reads that following tables may take; the rest is for reads of
-results, of batches that are taken over, and for bursts."""
+PACED_READ_SHARE = 0.6
+"""Share of the store's read capacity for reads that `ReadPace` limits, such as those
+that follow tables. The rest is left for reads of results, for reads of batches that are
+taken over from another host, and for bursts."""
 
 
 class ReadPace:
-    """Shares the store's reads among the hosts and the tables.
+    """Divides the store's read capacity among the hosts and the tables.
 
     Parameters
     ----------
-    hosts : callable
-        Number of hosts that are known.
+    host_count : callable
+        Number of known hosts.
     reads_per_s : float
-        Reads that the store takes from all hosts together, a second.
+        Reads per second that the store accepts from all hosts together.
     is_relayed : callable
-        Whether this host's reads are answered by another host, or few hosts read.
+        Whether one host of each data centre reads for the others, so that few hosts
+        read the store.
     """
 
     def __init__(
         self,
-        hosts: Callable[[], int],
+        host_count: Callable[[], int],
         reads_per_s: float,
         is_relayed: Callable[[], bool] = lambda: False,
     ):
-        self._hosts = hosts
+        self._host_count = host_count
         self._reads_per_s = reads_per_s
         self._is_relayed = is_relayed
 
-    def pause(self, share: float, least_s: float) -> Callable[[], float]:
-        """Return what gives the time between two reads of a table.
+    def pause(self, share: float, min_pause_s: float) -> Callable[[], float]:
+        """Return a callable that gives the pause between two reads of a table.
 
         Parameters
         ----------
         share : float
-            Share of all reads that the table may take.
-        least_s : float
-            Shortest time, in small fleets.
+            Share of the paced reads that the table may take.
+        min_pause_s : float
+            Shortest pause, which applies in small fleets.
         """
 
-        def seconds() -> float:
+        def pause_s() -> float:
             if self._is_relayed():
-                return least_s
-            rate = USED_SHARE * share * self._reads_per_s
-            return max(least_s, self._hosts() / rate)
+                return min_pause_s
+            rate = PACED_READ_SHARE * share * self._reads_per_s
+            return max(min_pause_s, self._host_count() / rate)
 
-        return seconds
+        return pause_s
--- a/src/bankrudder/store/_port.py
+++ b/src/bankrudder/store/_port.py
@@ -1,4 +1,4 @@
-"""The store as the rest of the project uses it."""
+"""The store interface that the other packages depend on."""
 
 from typing import Protocol
 
@@ -12,10 +12,10 @@
 
 
 class Store(Protocol):
-    """Linearizable rows, a feed of changes, and objects.
+    """Linearizable rows, a change feed, and objects.
 
-    Each read raises `StoreUnavailableError` if there is no result. Nothing is
-    retried here: whoever calls decides that.
+    Each read raises `StoreUnavailableError` if there is no result. No call is retried;
+    retries are up to the caller.
     """
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
@@ -25,7 +25,7 @@
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> Page:
-        """Return rows with ``start <= key < end``; an empty bound is none."""
+        """Return rows with ``start <= key < end``; an empty bound means no bound."""
         ...
 
     async def parts(self, table: str) -> tuple[str, ...]:
@@ -33,17 +33,17 @@
         ...
 
     async def follow(self, table: str, after: RowVersion, wait_s: float) -> Changes:
-        """Return what changed after a version, at the latest after `wait_s`.
+        """Return the changes after a version; wait for one for at most `wait_s`.
 
         Raises
         ------
         HistoryLostError
-            If the changes since then are no longer kept.
+            If the store no longer keeps all changes after that version.
         """
         ...
 
     async def put_object(self, name: str, body: bytes) -> CommitOutcome:
-        """Write an object that does not exist yet; `Conflict` if it does."""
+        """Write a new object; return `Conflict` if it exists."""
         ...
 
     async def get_object(self, name: str) -> bytes | None:
@@ -51,5 +51,5 @@
         ...
 
     async def drop_object(self, name: str) -> CommitOutcome:
-        """Remove an object, also one that does not exist."""
+        """Remove an object; succeeds if it does not exist."""
         ...
--- a/src/bankrudder/store/_recovering.py
+++ b/src/bankrudder/store/_recovering.py
@@ -1,10 +1,10 @@
-"""A store whose calls go on in the moment in which it returns from an outage.
+"""A store wrapper that holds calls back during an outage, like a circuit breaker.
 
-While the store is away, calls are not sent into it: they wait, and one small read
-after the other asks whether it is back. With the first answer all waiting calls are
-sent, and those that still hang on connections of the outage are given up, so that their
-callers try again at once. A call that has waited long enough ends as not done, which is
-true and more than an unanswered one could say.
+During an outage calls are not sent but wait, while small reads probe the store. On the
+first answer all waiting calls are sent, and calls that still hang on connections from
+the outage are abandoned, so that their callers retry at once. A call that waits too
+long fails as not carried out, which is certain; had it been sent without getting a
+reply, its outcome would be unknown.
 """
 
 import asyncio
@@ -32,48 +32,48 @@
 Result = TypeVar("Result")
 
 PROBE_PAUSE_S = 0.1
-"""Shortest pause between two probes. It bounds how much later than the store the
-waiting calls go on; ten hosts then make 100 small reads a second in an outage."""
+"""Shortest pause between two probes. It bounds the delay of waiting calls after the
+store's return; with it ten hosts make 100 small reads per second during an outage."""
 
 PROBE_SHARE = 0.1
-"""Share of the store's reads that probes of all hosts may take."""
+"""Share of the reads of `ReadPace` that the probes of all hosts may take."""
 
 PROBE_TIMEOUT_S = 0.6
-"""A probe that hangs for so long is given up; twice what a read takes when the store is
-sixty times slower than usual."""
+"""Timeout of a probe: twice the duration of a read when the store is sixty times slower
+than usual."""
 
 MAX_PROBES = 4
-"""Probes that may be on their way at once: on a silent store each hangs."""
+"""Probes in flight at once; while the store is silent each hangs until its timeout."""
 
 MAX_WAIT_S = 0.8
-"""Longest time for which a call waits for the store's return, as long as one that is
-sent waits for its reply."""
+"""Longest wait of a call for the end of an outage, equal to the wait for a reply."""
 
-ABANDON_S = 0.1
-"""Time after the store's return for which calls of the outage may still be answered:
-some ten transactions. They are sent again after it."""
+HUNG_CALL_GRACE_S = 0.1
+"""Time after an outage in which calls sent during it may still be answered, about the
+duration of ten transactions. After it they fail and their callers retry."""
 
 _PROBE_TABLE = "leases"
-_OUTAGE = frozenset(
+_OUTAGE_ERRORS = frozenset(
     {StoreTrouble.BUSY, StoreTrouble.UNREACHABLE, StoreTrouble.NO_REPLY}
 )
 
-_TURNED_AWAY = _OUTAGE | {StoreTrouble.RATE_LIMITED}
+_NOT_SERVED_ERRORS = _OUTAGE_ERRORS | {StoreTrouble.RATE_LIMITED}
 
-ASK_PAUSE_S = 0.5
-"""Pause between two questions whether the store takes calls of this host again, while
-it turns them away: half of the time between two questions of the balancer."""
+NOT_SERVED_PROBE_PAUSE_S = 0.5
+"""Pause between two probes while the store refuses this host: half of the interval of
+the load balancer's health checks."""
 
 _log = structlog.get_logger("store")
 
 
 class RecoveringStore:
-    """Passes calls on to `store` while it is there.
+    """Forwards calls to `store`, and holds them back during an outage.
 
     Parameters
     ----------
     probe_pause_s : callable
-        Seconds between two probes; the fleet's share of reads bounds it.
+        Seconds between two probes, long enough for the read capacity that probes of
+        all hosts may take.
     """
 
     def __init__(
@@ -86,79 +86,79 @@
         self._clock = clock
         self._probe_pause_s = probe_pause_s
         self._detector = OutageDetector()
-        self._trouble = StoreTrouble.NO_REPLY
-        self._returned = asyncio.Event()
+        self._last_error_kind = StoreTrouble.NO_REPLY
+        self._outage_ended = asyncio.Event()
         self._in_flight: dict[asyncio.Timeout, float] = {}
-        self._probing: asyncio.Task[None] | None = None
-        self._fails_since: float | None = None
-        self._asking: asyncio.Task[None] | None = None
+        self._outage_probe_task: asyncio.Task[None] | None = None
+        self._failing_since: float | None = None
+        self._not_served_probe_task: asyncio.Task[None] | None = None
 
     @property
     def fails_since(self) -> float | None:
-        """Monotonic time of the first failed call in a row, None if calls succeed.
+        """Monotonic time since when calls fail, None if the last call succeeded.
 
-        Unlike an outage it also begins when the store turns this host away while it
-        serves others.
+        Unlike an outage this includes calls that are refused by a rate limit, as when
+        the store serves other hosts but not this one.
         """
-        return self._fails_since
+        return self._failing_since
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
         """Apply a transaction if all of its expectations hold."""
-        return await self._written(lambda: self._store.commit(transaction))
+        return await self._run_write(lambda: self._store.commit(transaction))
 
     async def put_object(self, name: str, body: bytes) -> CommitOutcome:
-        """Write an object that does not exist yet."""
-        return await self._written(lambda: self._store.put_object(name, body))
+        """Write a new object."""
+        return await self._run_write(lambda: self._store.put_object(name, body))
 
     async def drop_object(self, name: str) -> CommitOutcome:
-        """Remove an object, also one that does not exist."""
-        return await self._written(lambda: self._store.drop_object(name))
+        """Remove an object; succeeds if it does not exist."""
+        return await self._run_write(lambda: self._store.drop_object(name))
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> Page:
         """Return rows of one part in the order of their keys."""
-        return await self._was_read(
+        return await self._run_read(
             lambda: self._store.read(table, part, start, end, limit)
         )
 
     async def parts(self, table: str) -> tuple[str, ...]:
         """Return the names of all parts of a table."""
-        return await self._was_read(lambda: self._store.parts(table))
+        return await self._run_read(lambda: self._store.parts(table))
 
     async def follow(self, table: str, after: RowVersion, wait_s: float) -> Changes:
-        """Return what changed after a version, at the latest after `wait_s`."""
-        return await self._was_read(lambda: self._store.follow(table, after, wait_s))
+        """Return the changes after a version; wait for one for at most `wait_s`."""
+        return await self._run_read(lambda: self._store.follow(table, after, wait_s))
 
     async def get_object(self, name: str) -> bytes | None:
         """Return an object, None if it does not exist."""
-        return await self._was_read(lambda: self._store.get_object(name))
+        return await self._run_read(lambda: self._store.get_object(name))
 
-    async def _written(
+    async def _run_write(
         self, call: Callable[[], Awaitable[CommitOutcome]]
     ) -> CommitOutcome:
-        if not await self._is_there():
-            return NotCommitted(self._trouble)
+        if not await self._wait_until_available():
+            return NotCommitted(self._last_error_kind)
         began = self._clock.monotonic()
         outcome: CommitOutcome = CommitUnknown(StoreTrouble.NO_REPLY)
         with suppress(TimeoutError):
-            async with self._abandoned_after_outage(began):
+            async with self._timeout_after_outage(began):
                 outcome = await call()
         match outcome:
             case CommitUnknown(trouble=trouble) | NotCommitted(trouble=trouble):
                 self._note_outcome(trouble)
-                self._note_trouble(began, trouble)
+                self._note_error(began, trouble)
             case _:
                 self._note_outcome(None)
                 self._note_answer(began)
         return outcome
 
-    async def _was_read(self, call: Callable[[], Awaitable[Result]]) -> Result:
-        if not await self._is_there():
-            raise StoreUnavailableError(self._trouble)
+    async def _run_read(self, call: Callable[[], Awaitable[Result]]) -> Result:
+        if not await self._wait_until_available():
+            raise StoreUnavailableError(self._last_error_kind)
         began = self._clock.monotonic()
         try:
-            async with self._abandoned_after_outage(began):
+            async with self._timeout_after_outage(began):
                 result = await call()
         except HistoryLostError:
             self._note_outcome(None)
@@ -166,7 +166,7 @@
             raise
         except StoreUnavailableError as error:
             self._note_outcome(error.trouble)
-            self._note_trouble(began, error.trouble)
+            self._note_error(began, error.trouble)
             raise
         except TimeoutError:
             raise StoreUnavailableError(StoreTrouble.NO_REPLY) from None
@@ -174,18 +174,18 @@
         self._note_answer(began)
         return result
 
-    async def _is_there(self) -> bool:
-        """Wait for the store's return; False if it does not come in time."""
+    async def _wait_until_available(self) -> bool:
+        """Wait for the end of an outage; return False if it lasts too long."""
         if not self._detector.is_out:
             return True
         with suppress(TimeoutError):
             async with asyncio.timeout(MAX_WAIT_S):
-                await self._returned.wait()
+                await self._outage_ended.wait()
         return not self._detector.is_out
 
     @asynccontextmanager
-    async def _abandoned_after_outage(self, began: float) -> AsyncIterator[None]:
-        """Raise `TimeoutError` if the store returned while the call hung."""
+    async def _timeout_after_outage(self, began: float) -> AsyncIterator[None]:
+        """Raise `TimeoutError` if the call hangs beyond the end of an outage."""
         async with asyncio.timeout(None) as scope:
             self._in_flight[scope] = began
             try:
@@ -194,47 +194,51 @@
                 del self._in_flight[scope]
 
     def _note_outcome(self, trouble: StoreTrouble | None) -> None:
-        """Note how a call of this host ended; None for an answer."""
-        if trouble not in _TURNED_AWAY:
-            self._fails_since = None
-        elif self._fails_since is None:
-            self._fails_since = self._clock.monotonic()
-            self._asking = asyncio.ensure_future(self._ask_until_taken())
-
-    async def _ask_until_taken(self) -> None:
-        """Find out when calls succeed again, also where this host makes none."""
-        while self._fails_since is not None:
-            await asyncio.sleep(ASK_PAUSE_S)
-            # In an outage it is asked anyway, and more often.
-            if self._fails_since is not None and not self._detector.is_out:
+        """Record how a call of this host ended; None for an answer."""
+        if trouble not in _NOT_SERVED_ERRORS:
+            self._failing_since = None
+        elif self._failing_since is None:
+            self._failing_since = self._clock.monotonic()
+            self._not_served_probe_task = asyncio.ensure_future(
+                self._probe_until_served()
+            )
+
+    async def _probe_until_served(self) -> None:
+        """Probe until calls succeed again, in case this host makes no other calls."""
+        while self._failing_since is not None:
+            await asyncio.sleep(NOT_SERVED_PROBE_PAUSE_S)
+            # In an outage `_probe_until_outage_ends` probes, and more often.
+            if self._failing_since is not None and not self._detector.is_out:
                 await self._probe()
 
     def _note_answer(self, began: float) -> None:
         ended = self._detector.note_answer(began)
         if ended is not None:
-            self._go_on(ended)
+            self._resume_calls(ended)
 
-    def _note_trouble(self, began: float, trouble: StoreTrouble) -> None:
-        if trouble not in _OUTAGE:
+    def _note_error(self, began: float, trouble: StoreTrouble) -> None:
+        if trouble not in _OUTAGE_ERRORS:
             self._note_answer(began)
             return
-        self._trouble = trouble
+        self._last_error_kind = trouble
         match self._detector.note_failure(began):
             case OutageBegan():
                 _log.warning("store: outage, calls wait", reason=trouble.value)
-                self._returned.clear()
-                self._probing = asyncio.ensure_future(self._probe_until_back())
-
-    def _go_on(self, ended: OutageEnded) -> None:
-        _log.info("store: back, calls go on", hanging=len(self._in_flight))
-        self._returned.set()
-        until = asyncio.get_running_loop().time() + ABANDON_S
+                self._outage_ended.clear()
+                self._outage_probe_task = asyncio.ensure_future(
+                    self._probe_until_outage_ends()
+                )
+
+    def _resume_calls(self, ended: OutageEnded) -> None:
+        _log.info("store: outage ended, calls resume", hanging=len(self._in_flight))
+        self._outage_ended.set()
+        resume_deadline = asyncio.get_running_loop().time() + HUNG_CALL_GRACE_S
         for scope, began in self._in_flight.items():
-            # One that is being given up cannot be given another time.
-            if began < ended.since and not scope.expired():
-                scope.reschedule(until)
+            # A timeout that has expired cannot be rescheduled.
+            if began < ended.answered_call_began and not scope.expired():
+                scope.reschedule(resume_deadline)
 
-    async def _probe_until_back(self) -> None:
+    async def _probe_until_outage_ends(self) -> None:
         probes: set[asyncio.Task[None]] = set()
         try:
             while self._detector.is_out:
@@ -244,7 +248,7 @@
                     probe.add_done_callback(probes.discard)
                 with suppress(TimeoutError):
                     async with asyncio.timeout(self._probe_pause_s()):
-                        await self._returned.wait()
+                        await self._outage_ended.wait()
         finally:
             for probe in probes:
                 probe.cancel()
@@ -255,6 +259,6 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await self._store.read(_PROBE_TABLE, "", limit=1)
         except (StoreUnavailableError, TimeoutError):
-            return  # the outage goes on; its begin was logged
+            return  # the outage continues; its start was logged
         self._note_outcome(None)
         self._note_answer(began)
--- a/src/bankrudder/store/_rows.py
+++ b/src/bankrudder/store/_rows.py
@@ -1,4 +1,4 @@
-"""All rows of one part: reading and removing them in as many calls as it takes."""
+"""Reads and removes all rows of one part, in as many calls as needed."""
 
 from collections.abc import Sequence
 
@@ -6,11 +6,11 @@
 from bankrudder.store._values import Row, RowKey, Transaction
 
 MAX_TRANSACTION_ROWS = 90
-"""Rows of one transaction at most, below the store's bound."""
+"""Maximum number of rows in one transaction, below the store's limit."""
 
 
 async def read_all(store: Store, table: str, part: str, end: str = "") -> list[Row]:
-    """Return all rows of one part whose keys are below `end`; all if it is empty."""
+    """Return the rows of one part with keys below `end`; all rows if it is empty."""
     rows: list[Row] = []
     start = ""
     while True:
@@ -22,7 +22,7 @@
 
 
 async def remove_all(store: Store, keys: Sequence[RowKey]) -> None:
-    """Remove rows of one part, whatever is there and without a condition."""
+    """Remove rows of one part unconditionally, whether or not they exist."""
     for start in range(0, len(keys), MAX_TRANSACTION_ROWS):
-        some = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
-        await store.commit(Transaction(removals=some))
+        batch_keys = tuple(keys[start : start + MAX_TRANSACTION_ROWS])
+        await store.commit(Transaction(removals=batch_keys))
--- a/src/bankrudder/store/_settling.py
+++ b/src/bankrudder/store/_settling.py
@@ -1,8 +1,8 @@
-"""Commits whose outcome becomes known, also when a reply is lost.
+"""Commits whose outcome is settled, that is known, even if a reply is lost.
 
-After a lost reply the transaction may have taken effect, may not, or may still
-be on its way. It is sent again on the same expectations: if that succeeds, the
-first can no longer take effect; if it conflicts, the rows tell whose write is there.
+After a lost reply the transaction may or may not have taken effect, or may still do so.
+It is sent again with the same expectations. If the second attempt succeeds, the first
+can no longer take effect; if it conflicts, the rows show who wrote them.
 """
 
 import asyncio
@@ -24,11 +24,11 @@
 from bankrudder.world import Clock
 
 FIRST_PAUSE_S = 0.05
-"""Pause before a second try: some ten times the store's usual answer."""
+"""Pause before the second attempt: about ten times the store's usual response time."""
 
 MAX_PAUSE_S = 0.1
-"""Longest pause. Calls wait by themselves while the store is away, so this paces only
-those that are refused or lost one by one."""
+"""Longest pause between attempts. During an outage `RecoveringStore` delays the calls,
+so this pause matters only for single calls that are refused or lost."""
 
 _log = structlog.get_logger("store")
 
@@ -41,36 +41,39 @@
     give_up_s: float,
     refused_give_up_s: float | None = None,
 ) -> Committed | Conflict | NotCommitted:
-    """Commit `transaction` and find out what became of it.
+    """Commit `transaction`, and retry until its outcome is known.
 
     Parameters
     ----------
     is_ours : callable
-        Tells from the rows of a conflict whether this transaction wrote them.
-        Asked only after a try of unknown outcome.
+        Whether this transaction wrote the rows of a conflict. Called only after an
+        attempt with an unknown outcome.
     give_up_s : float
-        Seconds after which no further try is made.
+        Seconds after which no further attempt is made.
     refused_give_up_s : float, optional
-        The same if the last try was surely not carried out, as the store is away for
-        this host: another one may be served. As long as `give_up_s` if not given.
+        The same limit for when the last attempt was certainly not carried out: the
+        store may refuse only this host, and the caller can then leave the request to
+        another host earlier. Equal to `give_up_s` if not given.
 
     Returns
     -------
     Committed, Conflict or NotCommitted
-        Certain; `NotCommitted` only if no try can have taken effect.
+        The certain outcome; `NotCommitted` only if no attempt can have taken effect.
 
     Raises
     ------
     NotSettledError
-        If a try may have taken effect, or may yet, and time is up.
+        If an attempt may have taken effect, or may still do so, when time is up.
     """
     began = clock.monotonic()
-    refused_s = give_up_s if refused_give_up_s is None else refused_give_up_s
+    not_committed_give_up_s = (
+        give_up_s if refused_give_up_s is None else refused_give_up_s
+    )
     may_be_done = False
     pause_s = FIRST_PAUSE_S
     while True:
         outcome: CommitOutcome = await store.commit(transaction)
-        until = began + give_up_s
+        deadline = began + give_up_s
         match outcome:
             case Committed():
                 return outcome
@@ -82,14 +85,14 @@
                 _log.error("store: transaction rejected", may_be_done=may_be_done)
                 break
             case NotCommitted():
-                until = began + refused_s
+                deadline = began + not_committed_give_up_s
             case CommitUnknown():
                 may_be_done = True
-        if clock.monotonic() + pause_s >= until:
+        if clock.monotonic() + pause_s >= deadline:
             break
         await asyncio.sleep(pause_s)
         pause_s = min(2 * pause_s, MAX_PAUSE_S)
-    _log.warning("store: commit not settled", may_be_done=may_be_done)
+    _log.warning("store: commit not confirmed", may_be_done=may_be_done)
     if may_be_done:
         raise NotSettledError
     assert isinstance(outcome, NotCommitted)
--- a/src/bankrudder/store/_values.py
+++ b/src/bankrudder/store/_values.py
@@ -1,4 +1,4 @@
-"""What the store keeps, and what can become of a transaction."""
+"""Rows, transactions and the possible outcomes of a transaction."""
 
 from enum import Enum
 from typing import NewType
@@ -6,14 +6,14 @@
 import msgspec
 
 RowVersion = NewType("RowVersion", int)
-"""Number of the transaction that wrote a row; grows over the whole store."""
+"""Number of the transaction that wrote a row; increases across the whole store."""
 
 ABSENT = RowVersion(0)
 """Expected version of a row that must not exist."""
 
 
 class RowKey(msgspec.Struct, frozen=True, order=True):
-    """Name of one row. A transaction stays within one ``part``."""
+    """Key of one row. All rows of a transaction have the same ``part``."""
 
     table: str
     part: str
@@ -21,7 +21,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as it was at some moment."""
+    """One row with the value that it had at a version."""
 
     key: RowKey
     version: RowVersion
@@ -29,7 +29,7 @@
 
 
 class RemovedRow(msgspec.Struct, frozen=True):
-    """News that a row is gone."""
+    """The removal of a row, at a version."""
 
     key: RowKey
     version: RowVersion
@@ -58,12 +58,12 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The changes took effect; all rows put now have ``version``.
+    """The changes took effect; all rows that were put now have ``version``.
 
     Attributes
     ----------
     store_time_s : float
-        The store's own steady clock, of no fixed origin.
+        Time of the store's own monotonic clock, which has no fixed origin.
     """
 
     version: RowVersion
@@ -71,7 +71,7 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Nothing was changed; ``rows`` are those of the expectations that exist."""
+    """Nothing was changed; ``rows`` are the existing rows of the expectations."""
 
     rows: tuple[Row, ...]
 
@@ -80,7 +80,7 @@
         return any(row.value == value for row in self.rows)
 
     def row(self, key: RowKey) -> Row | None:
-        """Return the row as it was found, None if it does not exist."""
+        """Return the row with this key, None if it does not exist."""
         return next((row for row in self.rows if row.key == key), None)
 
 
@@ -88,7 +88,7 @@
     """Why the store gave no result."""
 
     BUSY = "busy"
-    """It refused the call for now."""
+    """The store temporarily refused the call."""
 
     RATE_LIMITED = "rate_limited"
     FULL = "full"
@@ -96,10 +96,10 @@
     """No connection could be made; nothing was sent."""
 
     NO_REPLY = "no_reply"
-    """The call was sent, and nothing or something broken came back."""
+    """The call was sent; no reply or an unreadable one came back."""
 
     REJECTED = "rejected"
-    """The store considers the call wrong; sending it again will not help."""
+    """The store considers the call invalid; a retry will fail again."""
 
 
 class NotCommitted(msgspec.Struct, frozen=True):
@@ -109,7 +109,7 @@
 
 
 class CommitUnknown(msgspec.Struct, frozen=True):
-    """The changes may have taken effect, or may yet do so."""
+    """The changes may have taken effect, or may still do so."""
 
     trouble: StoreTrouble
 
@@ -118,7 +118,7 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Rows of one part as of a single moment."""
+    """Rows of one part, read at a single version."""
 
     rows: tuple[Row, ...]
     version: RowVersion
@@ -126,7 +126,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What changed in a table, in order; the next read goes on from ``version``."""
+    """Changes of a table, in order; the next read continues from ``version``."""
 
     changes: tuple[Row | RemovedRow, ...]
     version: RowVersion
--- a/tests/store/test_following.py
+++ b/tests/store/test_following.py
@@ -1,4 +1,4 @@
-"""A copy of a table stays true through silence, refusals and lost history."""
+"""A followed table stays correct despite silence, refusals and lost history."""
 
 import asyncio
 import time
@@ -9,8 +9,8 @@
 from bankrudder.world import SystemClock
 from outside.store import GateMode
 
-APPLY_S = 2.0
-"""Time in which the platform wants a configuration to be in force."""
+APPLY_LIMIT_S = 2.0
+"""Time within which the platform requires a configuration to be in force."""
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
     return time.monotonic() - began
 
 
-async def test_rows_from_before_and_after_the_start_are_seen(rows, follower, copy):
+async def test_existing_changed_and_removed_rows_are_reported(rows, follower, copy):
     rows.put("op", "config", {"version": 1})
     await until(lambda: copy == {"config": b'{"version": 1}'})
     rows.put("op", "config", {"version": 2})
@@ -55,16 +55,16 @@
     rows.put("op", "config", {"version": 1})
     await until(lambda: copy)
     gate.mode = GateMode.SILENT
-    # A read is held by now, and this connection will never answer.
+    # The store now holds a read whose connection never answers.
     calls = len(gate.calls)
     await until(lambda: len(gate.calls) > calls)
     gate.mode = GateMode.OPEN
     rows.put("op", "config", {"version": 2})
     took_s = await until(lambda: copy["config"] == b'{"version": 2}', 10.0)
-    assert took_s < APPLY_S
+    assert took_s < APPLY_LIMIT_S
 
 
-async def test_all_rows_are_read_anew_when_history_is_lost(rows, gate, follower, copy):
+async def test_all_rows_are_read_again_when_history_is_lost(rows, gate, follower, copy):
     rows.put("op", "config", {"version": 1})
     rows.put("op", "version/m", {"version": 1})
     await until(lambda: len(copy) == 2)
@@ -79,7 +79,7 @@
     assert follower.regained_at is not None
 
 
-async def test_a_failed_read_begins_the_time_without_one_anew(rows, gate, follower):
+async def test_a_failed_read_resets_the_time_without_failures(rows, gate, follower):
     rows.put("op", "config", {"version": 1})
     assert follower.current_for_s() == 0.0
     await until(lambda: follower.current_for_s() > 0.3)
--- a/tests/store/test_outages.py
+++ b/tests/store/test_outages.py
@@ -1,15 +1,15 @@
-"""An outage is told from single failures, and ends for all with one answer."""
+"""Consecutive failures are an outage, single ones are not; one answer ends it."""
 
 from bankrudder.store._outages import OutageBegan, OutageDetector, OutageEnded
 
 
-def test_one_failure_is_no_outage():
+def test_a_single_failure_is_not_an_outage():
     detector = OutageDetector()
     assert detector.note_failure(1.0) is None
     assert not detector.is_out
 
 
-def test_failures_without_an_answer_between_them_are_one():
+def test_consecutive_failures_are_an_outage():
     detector = OutageDetector()
     detector.note_answer(0.5)
     assert detector.note_failure(1.0) is None
@@ -18,7 +18,7 @@
     assert detector.is_out
 
 
-def test_an_answer_between_them_starts_the_count_anew():
+def test_an_answer_resets_the_failure_count():
     detector = OutageDetector()
     detector.note_failure(1.0)
     detector.note_answer(1.1)
@@ -26,8 +26,8 @@
     assert not detector.is_out
 
 
-def test_a_failure_older_than_an_answer_says_nothing():
-    # Lost replies are noticed late, when later calls were long answered.
+def test_a_failed_call_older_than_an_answered_one_is_ignored():
+    # A lost reply is detected only at its timeout, after later calls were answered.
     detector = OutageDetector()
     detector.note_answer(2.0)
     for began in (1.0, 1.2, 1.4, 2.0):
@@ -35,7 +35,7 @@
     assert not detector.is_out
 
 
-def test_the_first_answer_ends_it_and_tells_which_calls_hang():
+def test_the_first_answer_ends_an_outage_and_reports_when_its_call_began():
     detector = OutageDetector()
     detector.note_failure(1.0)
     detector.note_failure(1.1)
@@ -44,7 +44,7 @@
     assert detector.note_answer(3.1) is None
 
 
-def test_calls_that_fail_late_do_not_bring_it_back():
+def test_late_failures_of_older_calls_do_not_restart_an_outage():
     detector = OutageDetector()
     detector.note_failure(1.0)
     detector.note_failure(1.1)
--- a/tests/store/test_platform_store.py
+++ b/tests/store/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store tells its four outcomes apart."""
+"""The client of the platform's store distinguishes the four outcomes of a commit."""
 
 import pytest
 
@@ -33,25 +33,27 @@
     assert outcome.row(KEY).version == 1
 
 
-async def test_refused_and_unreachable_mean_not_done(store, gate):
+async def test_a_refused_or_unsent_commit_is_not_committed(store, gate):
     gate.mode = GateMode.BUSY
     assert await store.commit(PUT) == NotCommitted(StoreTrouble.BUSY)
     await gate.stop()
     assert await store.commit(PUT) == NotCommitted(StoreTrouble.UNREACHABLE)
 
 
-async def test_a_lost_reply_means_unknown(store, gate):
+async def test_a_commit_with_a_lost_reply_has_an_unknown_outcome(store, gate):
     gate.lose_replies = 1
     assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
 
 
-async def test_a_silent_store_means_unknown_after_a_time(store, gate, monkeypatch):
+async def test_a_commit_to_a_silent_store_times_out_with_an_unknown_outcome(
+    store, gate, monkeypatch
+):
     monkeypatch.setattr(_store, "CALL_TIMEOUT_S", 0.1)
     gate.mode = GateMode.SILENT
     assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
 
 
-async def test_reads_are_ordered_and_bounded(store):
+async def test_reads_are_ordered_by_key_and_limited(store):
     puts = tuple(Put(RowKey("my", "p", f"k{n}"), b"%d" % n) for n in range(5))
     await store.commit(Transaction(puts=puts))
     page = await store.read("my", "p", "k1", "k4", limit=2)
@@ -60,17 +62,17 @@
     assert await store.parts("my") == ("p",)
 
 
-async def test_the_feed_tells_of_removals_and_of_lost_history(store, rows):
+async def test_the_feed_reports_removals_and_lost_history(store, rows):
     await store.commit(PUT)
     await store.commit(Transaction(removals=(KEY,)))
-    news = await store.follow("my", ABSENT, 0.1)
-    assert news.changes[-1] == RemovedRow(KEY, 2)
+    feed_changes = await store.follow("my", ABSENT, 0.1)
+    assert feed_changes.changes[-1] == RemovedRow(KEY, 2)
     rows.forget_history()
     with pytest.raises(HistoryLostError):
         await store.follow("my", ABSENT, 0.1)
 
 
-async def test_an_unreadable_store_raises(store, gate):
+async def test_a_refused_read_raises(store, gate):
     gate.mode = GateMode.BUSY
     with pytest.raises(StoreUnavailableError):
         await store.read("my", "p")
@@ -87,7 +89,7 @@
 @pytest.mark.parametrize(
     "reply", [b"{", b'{"rows": 7}', b'{"rows":[{"table":"t","ver":1,"value":"?"}]}']
 )
-async def test_a_reply_that_cannot_be_understood_is_none(store, gate, reply):
+async def test_an_unreadable_reply_counts_as_no_reply(store, gate, reply):
     gate.garbled = reply
     assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
     with pytest.raises(StoreUnavailableError):
--- a/tests/store/test_recovering.py
+++ b/tests/store/test_recovering.py
@@ -1,4 +1,4 @@
-"""Calls go on when the store returns, whatever they were waiting for."""
+"""Waiting and hung calls resume as soon as an outage of the store ends."""
 
 import asyncio
 import time
@@ -17,15 +17,15 @@
     StoreUnavailableError,
     Transaction,
 )
-from bankrudder.store._recovering import ABANDON_S, MAX_WAIT_S
+from bankrudder.store._recovering import HUNG_CALL_GRACE_S, MAX_WAIT_S
 from bankrudder.world import SystemClock
 from outside.site import until
 from outside.store import GateMode
 
 KEY = RowKey("results", "batch", "0")
-WRITE = Transaction((Expectation(KEY, 0),), (Put(KEY, b"x"),))
-AT_ONCE_S = 0.45
-"""A few probes' pauses: far less than the timeout of a call."""
+TRANSACTION = Transaction((Expectation(KEY, 0),), (Put(KEY, b"x"),))
+RESUME_LIMIT_S = 0.45
+"""Time of a few probe pauses, far below the timeout of a call."""
 
 
 @pytest.fixture
@@ -33,50 +33,50 @@
     return RecoveringStore(store, SystemClock())
 
 
-async def lose(store):
-    """Let calls fail until the outage is known."""
+async def start_outage(store):
+    """Make calls fail until the outage is detected."""
     for _ in range(2):
         with pytest.raises(StoreUnavailableError):
             await store.read("results", "batch")
 
 
 @pytest.mark.parametrize("mode", [GateMode.SILENT, GateMode.BUSY, GateMode.RESET])
-async def test_calls_that_wait_are_carried_out_at_the_return(recovering, gate, mode):
+async def test_waiting_calls_are_carried_out_after_an_outage(recovering, gate, mode):
     gate.mode = mode
-    await lose(recovering)
-    write = asyncio.ensure_future(recovering.commit(WRITE))
+    await start_outage(recovering)
+    write = asyncio.ensure_future(recovering.commit(TRANSACTION))
     read = asyncio.ensure_future(recovering.read("results", "other"))
     await asyncio.sleep(0.2)
     gate.mode = GateMode.OPEN
-    returned = time.monotonic()
+    returned_at = time.monotonic()
     assert isinstance(await write, Committed)
     assert (await read).rows == ()
-    assert time.monotonic() - returned < AT_ONCE_S
+    assert time.monotonic() - returned_at < RESUME_LIMIT_S
 
 
-async def test_a_call_that_waits_in_vain_was_not_done(recovering, gate, rows):
+async def test_a_call_that_waits_too_long_is_not_committed(recovering, gate, rows):
     gate.mode = GateMode.SILENT
-    await lose(recovering)
+    await start_outage(recovering)
     began = time.monotonic()
-    assert isinstance(await recovering.commit(WRITE), NotCommitted)
+    assert isinstance(await recovering.commit(TRANSACTION), NotCommitted)
     assert time.monotonic() - began < MAX_WAIT_S + 0.5
     gate.mode = GateMode.OPEN
     await until(lambda: not recovering._detector.is_out)
     assert not rows.rows
 
 
-async def test_calls_that_hang_are_given_up_at_the_return(recovering, gate):
+async def test_hung_calls_are_abandoned_after_an_outage(recovering, gate):
     gate.mode = GateMode.SILENT
     hanging = asyncio.ensure_future(recovering.follow("results", 0, 30.0))
-    await lose(recovering)
+    await start_outage(recovering)
     gate.mode = GateMode.OPEN
-    returned = time.monotonic()
+    returned_at = time.monotonic()
     with pytest.raises(StoreUnavailableError):
         await hanging
-    assert time.monotonic() - returned < AT_ONCE_S
+    assert time.monotonic() - returned_at < RESUME_LIMIT_S
 
 
-async def test_lost_replies_among_others_hold_nothing_up(recovering, gate):
+async def test_lost_replies_beside_answered_calls_are_no_outage(recovering, gate):
     gate.hang_replies = True
     lost = [
         asyncio.ensure_future(recovering.commit(Transaction(puts=(Put(KEY, b"x"),))))
@@ -89,16 +89,16 @@
     assert not recovering._detector.is_out
 
 
-async def test_what_the_store_refuses_for_good_is_no_outage(recovering, gate):
+async def test_rejected_commits_are_no_outage(recovering, gate):
     gate.rejects_after_delay = True
     for _ in range(3):
-        assert isinstance(await recovering.commit(WRITE), NotCommitted)
+        assert isinstance(await recovering.commit(TRANSACTION), NotCommitted)
     gate.rejects_after_delay = False
-    assert isinstance(await recovering.commit(WRITE), Committed)
+    assert isinstance(await recovering.commit(TRANSACTION), Committed)
 
 
-class SlowlyEndingStore:
-    """A store whose feed takes a while to end when it is given up."""
+class SlowCancellationStore:
+    """A store whose feed reads take 0.5 s to end once they are cancelled."""
 
     def __init__(self):
         self.is_away = False
@@ -115,18 +115,19 @@
         return Page((), 1, False)
 
 
-async def test_what_is_being_given_up_does_not_hold_up_the_next_outages_calls():
-    store = SlowlyEndingStore()
+async def test_a_call_still_being_cancelled_does_not_break_the_next_outage():
+    store = SlowCancellationStore()
     recovering = RecoveringStore(store, SystemClock())
     hanging = []
     for _ in range(2):
         hanging.append(asyncio.ensure_future(recovering.follow("results", 0, 30.0)))
         await asyncio.sleep(0)
         store.is_away = True
-        await lose(recovering)
+        await start_outage(recovering)
         store.is_away = False
         await recovering.read("results", "batch")
-        await asyncio.sleep(ABANDON_S + 0.05)  # the first one is being given up now
+        # After this pause the first call is being cancelled.
+        await asyncio.sleep(HUNG_CALL_GRACE_S + 0.05)
     for each in hanging:
         with pytest.raises(StoreUnavailableError):
             await asyncio.wait_for(each, 5.0)
