--- a/src/bankrudder/feeds/__init__.py
+++ b/src/bankrudder/feeds/__init__.py
@@ -1,26 +1,26 @@
-"""Passing changes of the store's tables on within a data centre."""
+"""Relays changes of the store's tables to the hosts of a data centre."""
 
 from bankrudder.feeds._cache import FeedCache
 from bankrudder.feeds._messages import (
-    FeedBeat,
     FeedChanges,
+    FeedHeartbeat,
     FeedMessage,
     RelayedRow,
-    TouchedRow,
+    RowReference,
 )
 from bankrudder.feeds._publisher import FeedPublisher
 from bankrudder.feeds._readers import ReaderElection
 from bankrudder.feeds._store import FeedRole, RelayedStore
 
 __all__ = [
-    "FeedBeat",
     "FeedCache",
     "FeedChanges",
+    "FeedHeartbeat",
     "FeedMessage",
     "FeedPublisher",
     "FeedRole",
     "ReaderElection",
     "RelayedRow",
     "RelayedStore",
-    "TouchedRow",
+    "RowReference",
 ]
--- a/src/bankrudder/feeds/_cache.py
+++ b/src/bankrudder/feeds/_cache.py
@@ -1,8 +1,8 @@
-"""What a reader passed on, as a host that subscribes to it holds it.
+"""Changes that a subscribing host received from its reader.
 
-The cache answers reads of a table's feed only while it surely has every change since
-the version that is asked for, and the reader read the table lately. In any other case
-the host reads the store itself.
+The reader is the host that reads the store for its data centre. The cache answers a
+read of a table's feed only if it has every change since the requested version and the
+reader has read the table recently. Otherwise the host reads the store itself.
 """
 
 import asyncio
@@ -11,148 +11,154 @@
 
 import structlog
 
-from bankrudder.feeds._messages import FeedBeat, FeedChanges, FeedMessage
+from bankrudder.feeds._messages import FeedChanges, FeedHeartbeat, FeedMessage
 from bankrudder.store import Changes, RemovedRow, Row, RowKey, RowVersion
 from bankrudder.world import Clock
 
-SILENCE_S = 0.7
-"""A reader that sent nothing for so long is not relied on: nearly three beats. With the
-age of its last read it bounds how late a change is seen, below the two seconds in which
-a configuration must be in force and a draining endpoint be left."""
+SILENCE_LIMIT_S = 0.7
+"""Time without a message after which the reader's data is not used: nearly three
+heartbeats. With `MAX_READ_AGE_S` it keeps the delay of a change below the two seconds
+within which a configuration must be in force and draining endpoints unused."""
 
-MAX_AGE_S = 1.1
-"""Oldest read of a table that is relied on: a held read, and the time in which a
-connection that fell silent is noticed."""
+MAX_READ_AGE_S = 1.1
+"""Largest age of the reader's last read of a table at which its data is used: the
+duration of a held read plus the time to detect a connection that went silent."""
 
-MAX_CHANGES = 4096
-"""Changes of a table that are kept: several seconds of the largest fleet's."""
+MAX_TABLE_CHANGES = 4096
+"""Changes of a table that are kept: several seconds of changes in the largest fleet."""
 
 _log = structlog.get_logger("feeds")
 
 
-class _Table:
-    """One table: complete from ``base`` to ``version``."""
+class _TableChanges:
+    """All changes of one table after ``base_version`` up to ``version``."""
 
-    def __init__(self, base: RowVersion):
-        self.base = base
-        self.version = base
+    def __init__(self, base_version: RowVersion):
+        self.base_version = base_version
+        self.version = base_version
         self.changes: deque[Row | RemovedRow] = deque()
-        self.age_s = 0.0
-        self.told_at = 0.0
+        self.read_age_s = 0.0
+        self.age_noted_at = 0.0
 
     def since(self, after: RowVersion) -> tuple[Row | RemovedRow, ...]:
-        return tuple(each for each in self.changes if each.version > after)
+        return tuple(change for change in self.changes if change.version > after)
 
 
 class FeedCache:
-    """Holds what came from one reader."""
+    """Holds the changes that one reader sent."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._tables: dict[str, _Table] = {}
+        self._tables: dict[str, _TableChanges] = {}
         self._values: dict[RowKey, bytes] = {}
-        self._number: int | None = None
-        self._heard_at: float | None = None
-        self._news: dict[str, asyncio.Event] = {}
+        self._last_number: int | None = None
+        self._last_message_at: float | None = None
+        self._change_events: dict[str, asyncio.Event] = {}
 
     def clear(self) -> None:
-        """Forget what came from the reader before; rows read here stay known."""
+        """Drop the changes of the reader; the known values of rows are kept."""
         self._tables.clear()
-        self._number = None
-        self._heard_at = None
-        self._wake_all()
+        self._last_number = None
+        self._last_message_at = None
+        self._wake_all_waiters()
 
-    def note(self, row: Row) -> None:
-        """Remember a row that this host read itself, for touches of it."""
+    def remember(self, row: Row) -> None:
+        """Remember the value of a row that this host read, for touched rows."""
         self._values[row.key] = row.value
 
     def forget(self, key: RowKey) -> None:
-        """Forget a row that is gone."""
+        """Forget the value of a removed row."""
         self._values.pop(key, None)
 
-    def take(self, message: FeedMessage) -> None:
-        """Take a message of the reader."""
-        if self._number is not None and message.number != self._number + 1:
+    def apply(self, message: FeedMessage) -> None:
+        """Apply a message of the reader."""
+        if self._last_number is not None and message.number != self._last_number + 1:
             _log.info("feeds: messages lost", reader_number=message.number)
             self._tables.clear()
-            self._wake_all()
-        self._number = message.number
-        self._heard_at = self._clock.monotonic()
+            self._wake_all_waiters()
+        self._last_number = message.number
+        self._last_message_at = self._clock.monotonic()
         match message:
             case FeedChanges():
-                self._take_changes(message)
-                self._wake(message.table)
-            case FeedBeat(ages=ages):
-                for name, age_s in ages.items():
-                    self._note_age(name, age_s)
+                self._apply_changes(message)
+                self._wake_waiters(message.table)
+            case FeedHeartbeat(ages=ages):
+                for name, read_age_s in ages.items():
+                    self._note_age(name, read_age_s)
 
-    async def next(
+    async def changes_since(
         self, table: str, after: RowVersion, wait_s: float
     ) -> Changes | None:
-        """Return what changed after a version, at the latest after `wait_s`.
+        """Return the changes after a version; wait for one for at most `wait_s`.
 
-        None if the cache cannot tell.
+        Returns None if the cache cannot answer.
         """
-        until = self._clock.monotonic() + wait_s
+        deadline = self._clock.monotonic() + wait_s
         while True:
-            held = self._current(table, after)
-            if held is None:
+            table_changes = self._usable_changes(table, after)
+            if table_changes is None:
                 return None
-            left_s = until - self._clock.monotonic()
-            if held.version > after or left_s <= 0:
-                # A read of this host's own may be ahead of the reader for a moment.
-                return Changes(held.since(after), max(held.version, after))
-            news = self._news.setdefault(table, asyncio.Event())
+            left_s = deadline - self._clock.monotonic()
+            if table_changes.version > after or left_s <= 0:
+                # A read by this host itself may briefly be ahead of the reader.
+                return Changes(
+                    table_changes.since(after), max(table_changes.version, after)
+                )
+            change_event = self._change_events.setdefault(table, asyncio.Event())
             with suppress(TimeoutError):
-                async with asyncio.timeout(min(left_s, SILENCE_S / 2)):
-                    await news.wait()
+                async with asyncio.timeout(min(left_s, SILENCE_LIMIT_S / 2)):
+                    await change_event.wait()
 
-    def _current(self, table: str, after: RowVersion) -> _Table | None:
-        held = self._tables.get(table)
+    def _usable_changes(self, table: str, after: RowVersion) -> _TableChanges | None:
+        table_changes = self._tables.get(table)
         now = self._clock.monotonic()
-        if held is None or self._heard_at is None or now - self._heard_at > SILENCE_S:
+        if (
+            table_changes is None
+            or self._last_message_at is None
+            or now - self._last_message_at > SILENCE_LIMIT_S
+        ):
             return None
-        if held.age_s + now - held.told_at > MAX_AGE_S:
+        if table_changes.read_age_s + now - table_changes.age_noted_at > MAX_READ_AGE_S:
             return None
-        return held if held.base <= after else None
+        return table_changes if table_changes.base_version <= after else None
 
-    def _take_changes(self, message: FeedChanges) -> None:
-        held = self._tables.get(message.table)
-        if held is None or not message.after <= held.version:
-            held = self._tables[message.table] = _Table(message.after)
+    def _apply_changes(self, message: FeedChanges) -> None:
+        table_changes = self._tables.get(message.table)
+        if table_changes is None or not message.after <= table_changes.version:
+            table_changes = self._tables[message.table] = _TableChanges(message.after)
         self._note_age(message.table, 0.0)
         changes: list[Row | RemovedRow] = []
         for row in message.rows:
             self._values[row.key] = row.value
             changes.append(Row(row.key, row.version, row.value))
-        for touch in message.touched:
-            value = self._values.get(touch.key)
+        for touched_row in message.touched:
+            value = self._values.get(touched_row.key)
             if value is None:
-                # Its meaning is not known here: this host has to read it itself.
-                self._tables[message.table] = _Table(message.version)
+                # The row's value is unknown, so this host must read the store itself.
+                self._tables[message.table] = _TableChanges(message.version)
                 self._note_age(message.table, 0.0)
                 return
-            changes.append(Row(touch.key, touch.version, value))
-        for gone in message.removed:
-            self._values.pop(gone.key, None)
-            changes.append(RemovedRow(gone.key, gone.version))
-        held.changes.extend(sorted(changes, key=lambda each: each.version))
-        held.version = max(held.version, message.version)
-        while len(held.changes) > MAX_CHANGES:
-            held.base = held.changes.popleft().version
-
-    def _note_age(self, table: str, age_s: float) -> None:
-        held = self._tables.get(table)
-        if held is not None:
-            held.age_s = age_s
-            held.told_at = self._clock.monotonic()
-
-    def _wake_all(self) -> None:
-        for table in list(self._news):
-            self._wake(table)
-
-    def _wake(self, table: str) -> None:
-        """Wake who waits for news of a table."""
-        news = self._news.pop(table, None)
-        if news is not None:
-            news.set()
+            changes.append(Row(touched_row.key, touched_row.version, value))
+        for removed_row in message.removed:
+            self._values.pop(removed_row.key, None)
+            changes.append(RemovedRow(removed_row.key, removed_row.version))
+        table_changes.changes.extend(sorted(changes, key=lambda change: change.version))
+        table_changes.version = max(table_changes.version, message.version)
+        while len(table_changes.changes) > MAX_TABLE_CHANGES:
+            table_changes.base_version = table_changes.changes.popleft().version
+
+    def _note_age(self, table: str, read_age_s: float) -> None:
+        table_changes = self._tables.get(table)
+        if table_changes is not None:
+            table_changes.read_age_s = read_age_s
+            table_changes.age_noted_at = self._clock.monotonic()
+
+    def _wake_all_waiters(self) -> None:
+        for table in list(self._change_events):
+            self._wake_waiters(table)
+
+    def _wake_waiters(self, table: str) -> None:
+        """Wake the calls that wait for changes of a table."""
+        change_event = self._change_events.pop(table, None)
+        if change_event is not None:
+            change_event.set()
--- a/src/bankrudder/feeds/_links.py
+++ b/src/bankrudder/feeds/_links.py
@@ -1,7 +1,7 @@
 """The sockets of readers and subscribers.
 
-Nothing is acknowledged: a message that is lost is noticed by its number, and the host
-then reads the store itself.
+Messages are not acknowledged: a subscriber detects a lost message by a gap in the
+message numbers, and then reads the store itself.
 """
 
 import asyncio
@@ -14,8 +14,9 @@
 from bankrudder.feeds._messages import FeedMessage, decode, encode
 from bankrudder.world import Address
 
-QUEUE_MESSAGES = 64
-"""Messages that wait for a slow subscriber before some are lost: several seconds."""
+QUEUE_MESSAGE_COUNT = 64
+"""Queue length for a slow subscriber, beyond which messages are lost: the messages of
+several seconds."""
 
 RETRY_PAUSE_S = 0.2
 """Pause after a failed receive."""
@@ -24,18 +25,20 @@
 
 
 class PublisherLink:
-    """Sends to all subscribers; owns its socket."""
+    """Sends messages to all subscribers; owns its socket."""
 
     def __init__(self, address: Address):
-        self._socket = pynng.Pub0(send_buffer_size=QUEUE_MESSAGES)
+        self._socket = pynng.Pub0(send_buffer_size=QUEUE_MESSAGE_COUNT)
         self._socket.listen(f"tcp://{address}")
 
     def send(self, message: FeedMessage) -> None:
-        """Send a message; one that finds no room is lost."""
+        """Send a message; it is dropped if the send queue is full."""
         try:
             self._socket.send(encode(message), block=False)
         except pynng.TryAgain:
-            _log.info("feeds: no room for a message", reader_number=message.number)
+            _log.info(
+                "feeds: send queue full, message dropped", reader_number=message.number
+            )
 
     def close(self) -> None:
         """Close the socket."""
@@ -43,12 +46,12 @@
 
 
 class SubscriberLink:
-    """Receives from one reader; owns its socket and the task that reads it."""
+    """Receives messages from one reader; owns its socket and the receiving task."""
 
-    def __init__(self, address: Address, take: Callable[[FeedMessage], None]):
-        self._socket = pynng.Sub0(topics=[b""], recv_buffer_size=QUEUE_MESSAGES)
+    def __init__(self, address: Address, apply: Callable[[FeedMessage], None]):
+        self._socket = pynng.Sub0(topics=[b""], recv_buffer_size=QUEUE_MESSAGE_COUNT)
         self._socket.dial(f"tcp://{address}", block=False)
-        self._take = take
+        self._apply = apply
         self._task = asyncio.ensure_future(self._receive())
 
     def close(self) -> None:
@@ -61,13 +64,13 @@
             try:
                 message = decode(await self._socket.arecv())
             except msgspec.DecodeError as error:
-                _log.warning("feeds: message not understood", reason=str(error))
+                _log.warning("feeds: message cannot be decoded", reason=str(error))
                 continue
             except pynng.Closed:
                 return
             except pynng.NNGException as error:
-                # Until it works again this host reads the store itself.
-                _log.warning("feeds: nothing received", reason=type(error).__name__)
+                # Until messages arrive again, this host reads the store itself.
+                _log.warning("feeds: receive failed", reason=type(error).__name__)
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
-            self._take(message)
+            self._apply(message)
--- a/src/bankrudder/feeds/_messages.py
+++ b/src/bankrudder/feeds/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a reader to the hosts of its data centre."""
+"""Messages from a reader to the other hosts of its data centre."""
 
 import msgspec
 
@@ -6,27 +6,29 @@
 
 
 class RelayedRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row that is new or means something else than before."""
+    """A row that is new or whose significant content changed."""
 
     key: RowKey
     version: RowVersion
     value: bytes
 
 
-class TouchedRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row that was written again and means the same."""
+class RowReference(msgspec.Struct, frozen=True, array_like=True):
+    """The key and version of a row, without its value."""
 
     key: RowKey
     version: RowVersion
 
 
 class FeedChanges(msgspec.Struct, frozen=True, array_like=True, tag="changes"):
-    """What changed in a table between two versions.
+    """Changes of a table after the version ``after`` up to ``version``.
 
     Attributes
     ----------
     number : int
-        Grows by one with each message of a reader, so that a lost one is noticed.
+        Increases by one with each message of a reader, to detect lost messages.
+    touched : tuple of RowReference
+        Rows that were written again with the same significant content.
     """
 
     number: int
@@ -34,18 +36,18 @@
     after: RowVersion
     version: RowVersion
     rows: tuple[RelayedRow, ...] = ()
-    touched: tuple[TouchedRow, ...] = ()
-    removed: tuple[TouchedRow, ...] = ()
+    touched: tuple[RowReference, ...] = ()
+    removed: tuple[RowReference, ...] = ()
 
 
-class FeedBeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
-    """The reader lives; ``ages`` tells when it last read each table, in seconds."""
+class FeedHeartbeat(msgspec.Struct, frozen=True, array_like=True, tag="beat"):
+    """A sign of life of the reader, with the seconds since it last read each table."""
 
     number: int
     ages: dict[str, float]
 
 
-FeedMessage = FeedChanges | FeedBeat
+FeedMessage = FeedChanges | FeedHeartbeat
 
 
 def encode(message: FeedMessage) -> bytes:
--- a/src/bankrudder/feeds/_publisher.py
+++ b/src/bankrudder/feeds/_publisher.py
@@ -1,61 +1,61 @@
-"""What a reader passes on: changes that mean something, and that it lives."""
+"""Messages that a reader sends: significant changes of rows, and heartbeats."""
 
 from collections.abc import Callable
 
 from bankrudder.feeds._messages import (
-    FeedBeat,
     FeedChanges,
+    FeedHeartbeat,
     FeedMessage,
     RelayedRow,
-    TouchedRow,
+    RowReference,
 )
 from bankrudder.store import Changes, Row, RowKey, RowVersion
 from bankrudder.world import Clock
 
 
 class FeedPublisher:
-    """Makes the messages of one reader.
+    """Creates and sends the messages of one reader.
 
     Parameters
     ----------
-    meaning_of : callable
-        What a row means, without what changes with each heartbeat.
-    heartbeats_matter : callable
-        Takes a table; whether rows that mean the same are passed on as touched.
+    significant_content : callable
+        Returns the content of a row without the fields that every heartbeat changes.
+    reports_touched_rows : callable
+        Whether, for a table, rows with unchanged content are sent as touched.
     """
 
     def __init__(
         self,
         send: Callable[[FeedMessage], None],
-        meaning_of: Callable[[Row], bytes],
-        heartbeats_matter: Callable[[str], bool],
+        significant_content: Callable[[Row], bytes],
+        reports_touched_rows: Callable[[str], bool],
         clock: Clock,
     ):
         self._send = send
-        self._meaning_of = meaning_of
-        self._heartbeats_matter = heartbeats_matter
+        self._significant_content = significant_content
+        self._reports_touched_rows = reports_touched_rows
         self._clock = clock
-        self._number = 0
-        self._meanings: dict[RowKey, bytes] = {}
-        self._read_at: dict[str, float] = {}
+        self._last_number = 0
+        self._contents: dict[RowKey, bytes] = {}
+        self._last_read_at: dict[str, float] = {}
 
     def publish(self, table: str, after: RowVersion, changes: Changes) -> None:
-        """Pass on what a read of the feed brought."""
-        self._read_at[table] = self._clock.monotonic()
+        """Send the result of a read of the feed."""
+        self._last_read_at[table] = self._clock.monotonic()
         rows: list[RelayedRow] = []
-        touched: list[TouchedRow] = []
-        removed: list[TouchedRow] = []
+        touched: list[RowReference] = []
+        removed: list[RowReference] = []
         for change in changes.changes:
             if not isinstance(change, Row):
-                self._meanings.pop(change.key, None)
-                removed.append(TouchedRow(change.key, change.version))
+                self._contents.pop(change.key, None)
+                removed.append(RowReference(change.key, change.version))
                 continue
-            meaning = self._meaning_of(change)
-            if self._meanings.get(change.key) != meaning:
-                self._meanings[change.key] = meaning
+            content = self._significant_content(change)
+            if self._contents.get(change.key) != content:
+                self._contents[change.key] = content
                 rows.append(RelayedRow(change.key, change.version, change.value))
-            elif self._heartbeats_matter(table):
-                touched.append(TouchedRow(change.key, change.version))
+            elif self._reports_touched_rows(table):
+                touched.append(RowReference(change.key, change.version))
         self._send(
             FeedChanges(
                 self._next_number(),
@@ -68,12 +68,12 @@
             )
         )
 
-    def beat(self) -> None:
-        """Tell that this reader lives, and how old its reads are."""
+    def send_heartbeat(self) -> None:
+        """Send a sign of life, with the ages of the last reads."""
         now = self._clock.monotonic()
-        ages = {table: round(now - at, 3) for table, at in self._read_at.items()}
-        self._send(FeedBeat(self._next_number(), ages))
+        ages = {table: round(now - at, 3) for table, at in self._last_read_at.items()}
+        self._send(FeedHeartbeat(self._next_number(), ages))
 
     def _next_number(self) -> int:
-        self._number += 1
-        return self._number
+        self._last_number += 1
+        return self._last_number
--- a/src/bankrudder/feeds/_readers.py
+++ b/src/bankrudder/feeds/_readers.py
@@ -1,7 +1,8 @@
-"""Which host of a data centre reads for the others.
+"""Election of the host that reads the store for the others of its data centre.
 
-All hosts draw the same order from the data centre's name; the first live one reads. For
-a moment two may, or none: a subscriber that hears nothing reads by itself.
+All hosts derive the same order of hosts from the data centre's name; the first live
+host is the reader. For a short time there may be two readers or none: a subscriber
+that receives no messages reads the store itself.
 """
 
 import asyncio
@@ -18,24 +19,24 @@
 if TYPE_CHECKING:
     from bankrudder.feeds._links import PublisherLink, SubscriberLink
 
-BEAT_S = 0.25
-"""Pause between two signs of life of a reader."""
+HEARTBEAT_INTERVAL_S = 0.25
+"""Pause between two heartbeats of a reader."""
 
-LOOK_BEATS = 2
-"""Beats between two looks at who should read."""
+ELECTION_HEARTBEAT_COUNT = 2
+"""Heartbeat intervals between two checks of which host should read."""
 
 
 class ReaderElection:
-    """Takes the role that this host should have, and does what it asks.
+    """Determines the role of this host, and opens or closes its links accordingly.
 
     Parameters
     ----------
     address : Address
-        Where this host sends to its subscribers if it reads.
+        Address at which this host, as a reader, serves its subscribers.
     min_hosts : int
-        Smallest fleet in which hosts read for others.
+        Smallest number of hosts in the fleet at which one reads for others.
     make_publisher : callable
-        Makes a publisher that sends through a callable.
+        Creates a publisher that sends its messages through the given callable.
     """
 
     def __init__(
@@ -52,39 +53,39 @@
         self._cache = cache
         self._presence = presence
         self._data_centre = data_centre
-        self._order = DrawnOrder(data_centre)
+        self._election_order = DrawnOrder(data_centre)
         self._address = address
         self._min_hosts = min_hosts
         self._make_publisher = make_publisher
         self._publisher: FeedPublisher | None = None
-        self._listening: PublisherLink | None = None
-        self._dialled: tuple[Address, SubscriberLink] | None = None
+        self._publisher_link: PublisherLink | None = None
+        self._subscription: tuple[Address, SubscriberLink] | None = None
 
     async def run(self) -> None:
-        """Look who should read, and beat if this host does, until cancelled."""
+        """Keep the role current, and send heartbeats as a reader, until cancelled."""
         try:
-            beats = 0
+            heartbeat_count = 0
             while True:
-                if beats % LOOK_BEATS == 0:
-                    self._take_role()
+                if heartbeat_count % ELECTION_HEARTBEAT_COUNT == 0:
+                    self._update_role()
                 if self._publisher is not None:
-                    self._publisher.beat()
-                beats += 1
-                await asyncio.sleep(BEAT_S)
+                    self._publisher.send_heartbeat()
+                heartbeat_count += 1
+                await asyncio.sleep(HEARTBEAT_INTERVAL_S)
         finally:
             self._stop_reading()
             self._stop_subscribing()
-            self._store.become(FeedRole.DIRECT)
+            self._store.set_role(FeedRole.DIRECT)
 
-    def _take_role(self) -> None:
+    def _update_role(self) -> None:
         reader = self._elected()
         if reader is None:
             self._stop_reading()
             self._stop_subscribing()
-            self._store.become(FeedRole.DIRECT)
+            self._store.set_role(FeedRole.DIRECT)
         elif reader == self._presence.host:
             self._stop_subscribing()
-            self._begin_reading()
+            self._start_reading()
         else:
             self._stop_reading()
             self._subscribe_to(self._presence.heartbeats()[reader].feed_address)
@@ -93,41 +94,41 @@
         if self._presence.host_count() < self._min_hosts:
             return None
         first = self._presence.first_live(
-            self._order,
+            self._election_order,
             1,
             (self._data_centre,),
-            lambda beat: bool(beat.feed_address),
+            lambda heartbeat: bool(heartbeat.feed_address),
         )
         return first[0] if first else None
 
-    def _begin_reading(self) -> None:
-        if self._listening is None:
-            # Imported late: a small fleet does without the library.
+    def _start_reading(self) -> None:
+        if self._publisher_link is None:
+            # Imported late, because a small fleet does not need the library.
             from bankrudder.feeds._links import PublisherLink
 
-            self._listening = PublisherLink(self._address)
-            self._publisher = self._make_publisher(self._listening.send)
-        # Others wait for its reads, so its loss must be noticed soon.
+            self._publisher_link = PublisherLink(self._address)
+            self._publisher = self._make_publisher(self._publisher_link.send)
+        # Other hosts depend on its reads, so its loss must be detected soon.
         self._presence.set_reads_for_others(True)
-        self._store.become(FeedRole.READER, self._publisher)
+        self._store.set_role(FeedRole.READER, self._publisher)
 
     def _stop_reading(self) -> None:
         self._presence.set_reads_for_others(False)
         self._publisher = None
-        listening, self._listening = self._listening, None
-        if listening is not None:
-            listening.close()
+        publisher_link, self._publisher_link = self._publisher_link, None
+        if publisher_link is not None:
+            publisher_link.close()
 
     def _subscribe_to(self, address: Address) -> None:
-        if self._dialled is None or self._dialled[0] != address:
+        if self._subscription is None or self._subscription[0] != address:
             from bankrudder.feeds._links import SubscriberLink
 
             self._stop_subscribing()
-            self._dialled = (address, SubscriberLink(address, self._cache.take))
-        self._store.become(FeedRole.SUBSCRIBER)
+            self._subscription = (address, SubscriberLink(address, self._cache.apply))
+        self._store.set_role(FeedRole.SUBSCRIBER)
 
     def _stop_subscribing(self) -> None:
-        dialled, self._dialled = self._dialled, None
-        if dialled is not None:
-            dialled[1].close()
+        subscription, self._subscription = self._subscription, None
+        if subscription is not None:
+            subscription[1].close()
         self._cache.clear()
--- a/src/bankrudder/feeds/_store.py
+++ b/src/bankrudder/feeds/_store.py
@@ -1,4 +1,4 @@
-"""The store as a host of a large fleet uses it: feeds by way of a reader."""
+"""The store of a host in a large fleet, which gets changes by way of a reader."""
 
 from enum import Enum
 
@@ -17,27 +17,27 @@
 )
 
 READER_WAIT_S = 0.4
-"""Time for which the store may hold a reader's read: with the time in which a silent
-connection is noticed, a second after which its subscribers read by themselves."""
+"""Time for which the store may hold a reader's read. Together with the time to detect a
+silent connection this is one second; then the subscribers read the store themselves."""
 
 _log = structlog.get_logger("feeds")
 
 
 class FeedRole(Enum):
-    """How this host learns of changes."""
+    """How this host receives changes."""
 
     DIRECT = "direct"
     READER = "reader"
-    """It reads the store and passes changes on."""
+    """The host reads the store and sends changes to its subscribers."""
 
     SUBSCRIBER = "subscriber"
 
 
 class RelayedStore:
-    """A store whose feeds may come from a reader of this data centre.
+    """A store whose feeds may come from the reader of this data centre.
 
-    All other calls, and reads of feeds that the reader cannot answer now, go to the
-    store itself.
+    All other calls, and reads of feeds that the cache cannot answer, go to the store
+    itself.
     """
 
     def __init__(self, store: Store, cache: FeedCache):
@@ -48,26 +48,26 @@
 
     @property
     def role(self) -> FeedRole:
-        """How this host learns of changes."""
+        """How this host receives changes."""
         return self._role
 
-    def become(self, role: FeedRole, publisher: FeedPublisher | None = None) -> None:
-        """Take another role."""
+    def set_role(self, role: FeedRole, publisher: FeedPublisher | None = None) -> None:
+        """Set the role; a reader also gets its publisher."""
         if role is not self._role:
             _log.info("feeds: role taken", role=role.value, before=self._role.value)
         self._role = role
         self._publisher = publisher
 
     async def follow(self, table: str, after: RowVersion, wait_s: float) -> Changes:
-        """Return what changed after a version, at the latest after `wait_s`."""
+        """Return the changes after a version; wait for one for at most `wait_s`."""
         if self._role is FeedRole.SUBSCRIBER:
-            relayed = await self._cache.next(table, after, wait_s)
+            relayed = await self._cache.changes_since(table, after, wait_s)
             if relayed is not None:
                 return relayed
         if self._role is FeedRole.READER:
             wait_s = min(wait_s, READER_WAIT_S)
         changes = await self._store.follow(table, after, wait_s)
-        self._note(changes)
+        self._remember_changes(changes)
         if self._publisher is not None:
             self._publisher.publish(table, after, changes)
         return changes
@@ -75,11 +75,11 @@
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> Page:
-        """Return rows with ``start <= key < end``; an empty bound is none."""
+        """Return rows with ``start <= key < end``; an empty bound means no bound."""
         page = await self._store.read(table, part, start, end, limit)
         if self._role is not FeedRole.DIRECT:
             for row in page.rows:
-                self._cache.note(row)
+                self._cache.remember(row)
         return page
 
     async def commit(self, transaction: Transaction) -> CommitOutcome:
@@ -91,7 +91,7 @@
         return await self._store.parts(table)
 
     async def put_object(self, name: str, body: bytes) -> CommitOutcome:
-        """Write an object that does not exist yet; `Conflict` if it does."""
+        """Write a new object; return `Conflict` if it exists."""
         return await self._store.put_object(name, body)
 
     async def get_object(self, name: str) -> bytes | None:
@@ -99,14 +99,14 @@
         return await self._store.get_object(name)
 
     async def drop_object(self, name: str) -> CommitOutcome:
-        """Remove an object, also one that does not exist."""
+        """Remove an object; succeeds if it does not exist."""
         return await self._store.drop_object(name)
 
-    def _note(self, changes: Changes) -> None:
+    def _remember_changes(self, changes: Changes) -> None:
         if self._role is FeedRole.DIRECT:
             return
         for change in changes.changes:
             if isinstance(change, Row):
-                self._cache.note(change)
+                self._cache.remember(change)
             else:
                 self._cache.forget(change.key)
