--- a/src/bankrudder/exceptions.py
+++ b/src/bankrudder/exceptions.py
@@ -1,13 +1,13 @@
-"""Exceptions: one class for each kind of failure."""
+"""Exceptions that carry failures: one class for each kind of failure."""
 
 import msgspec
 
 from bankrudder.failures import Failure, FailureKind, FailureReason
 
 UNDECODABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-"""What the decoder raises on bytes from outside that it does not understand.
+"""Exceptions of the decoder for invalid input.
 
-Documents that are nested deeper than it goes are among them.
+`RecursionError` is raised for documents with too many levels of nesting.
 """
 
 
@@ -17,7 +17,7 @@
     Attributes
     ----------
     failure : Failure
-        The typed account that is passed on to the caller.
+        The description of the failure that is sent to the caller.
     """
 
     kind = FailureKind.FAILED
@@ -38,13 +38,13 @@
 
 
 class NotRunError(BankrudderError):
-    """The request was not run and may be made again."""
+    """The request was not run and may be retried."""
 
     kind = FailureKind.NOT_RUN
 
 
 class OutcomeUnknownError(BankrudderError):
-    """The request may have run and will not be run again."""
+    """The request may have run and is not retried."""
 
     kind = FailureKind.OUTCOME_UNKNOWN
 
@@ -56,18 +56,18 @@
 
 
 class ExpiredError(BankrudderError):
-    """The deadline passed before there was an answer."""
+    """The deadline passed before the answer arrived."""
 
     kind = FailureKind.EXPIRED
 
 
 class InvalidError(BankrudderError):
-    """The request is wrong and would fail again."""
+    """The request is invalid and would fail again."""
 
     kind = FailureKind.INVALID
 
 
-_CLASS_OF_KIND: dict[FailureKind, type[BankrudderError]] = {
+_ERROR_CLASS_BY_KIND: dict[FailureKind, type[BankrudderError]] = {
     error.kind: error
     for error in (
         NotRunError,
@@ -81,6 +81,6 @@
 
 def error_from(failure: Failure) -> BankrudderError:
     """Return the exception that carries `failure`."""
-    error = _CLASS_OF_KIND[failure.kind](failure.reason, failure.detail)
+    error = _ERROR_CLASS_BY_KIND[failure.kind](failure.reason, failure.detail)
     error.failure = failure
     return error
--- a/src/bankrudder/failures.py
+++ b/src/bankrudder/failures.py
@@ -1,7 +1,7 @@
-"""What a caller is told when it does not get an answer.
+"""Failures of requests, as they are reported to callers.
 
-A failure is a value that crosses processes; the exceptions that carry one
-within a process are in `bankrudder.exceptions`.
+A failure is a value that is sent between processes; the exceptions that carry a
+failure within a process are in `bankrudder.exceptions`.
 """
 
 from enum import Enum
@@ -10,13 +10,13 @@
 
 
 class FailureKind(Enum):
-    """What is known about the request that failed."""
+    """Whether a failed request ran, and whether it may be retried."""
 
     NOT_RUN = "not_run"
-    """Nothing was run; the request may be made again."""
+    """The request did not run and may be retried."""
 
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """The request may have run; it will not be run again."""
+    """The request may have run; it is not retried."""
 
     FAILED = "failed"
     """The request ran and the endpoint answered with an error."""
@@ -25,16 +25,16 @@
     """The deadline passed; the answer is no longer useful."""
 
     INVALID = "invalid"
-    """The request is wrong and would fail again."""
+    """The request is invalid and would fail again."""
 
     @classmethod
     def _missing_(cls, value: object) -> "FailureKind":
-        """Return the cautious kind for one of a newer version."""
+        """Return `OUTCOME_UNKNOWN`, the safe kind, for a kind of a newer version."""
         return FailureKind.OUTCOME_UNKNOWN
 
 
 class FailureReason(Enum):
-    """Why it failed."""
+    """Reason of a failure."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHENTICATED = "unauthenticated"
@@ -50,7 +50,7 @@
     KEY_EXPIRED = "key_expired"
     KEY_FROM_FUTURE = "key_from_future"
     HOST_LOST = "host_lost"
-    """The host that may have run it is gone."""
+    """The host that may have run the request is lost."""
 
     STALE_CONFIGURATION = "stale_configuration"
     """The host cannot tell whether its configuration is the newest."""
@@ -66,7 +66,7 @@
     ENDPOINT_ERROR = "endpoint_error"
     ENDPOINT_TIMEOUT = "endpoint_timeout"
     CRASHES_ENDPOINTS = "crashes_endpoints"
-    """Endpoints ended under the same request before; it is not sent to another one."""
+    """The same request crashed endpoints before, so it is not sent to another one."""
 
     ANSWER_BROKEN = "answer_broken"
     SAMPLES_GIVEN_UP = "samples_given_up"
@@ -77,7 +77,7 @@
     STORE_UNAVAILABLE = "store_unavailable"
     NODE_UNREACHABLE = "node_unreachable"
     INTERNAL = "internal"
-    """Any other reason, also one that this version does not know."""
+    """Any other reason, including a reason that this version does not know."""
 
     @classmethod
     def _missing_(cls, value: object) -> "FailureReason":
@@ -85,18 +85,18 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """A typed account of a failure, as a caller receives it.
+    """A failure with its kind and reason, as a caller receives it.
 
     Attributes
     ----------
     detail : str
-        One short sentence for a person; it carries no payload.
+        One short sentence for a person, without any payload.
     field : str
-        Path of the wrong field, for INVALID.
+        Path of the invalid field, for INVALID.
     retry_after_s : float or None
-        Seconds after which it is worth coming back, None if it is not.
+        Seconds after which a retry is useful, None if it is not.
     allowed_addresses : tuple of str
-        Entry addresses that may take the request, for WRONG_PLACE.
+        Entry addresses that may accept the request, for WRONG_PLACE.
     """
 
     kind: FailureKind
--- a/src/bankrudder/world/__init__.py
+++ b/src/bankrudder/world/__init__.py
@@ -1,4 +1,4 @@
-"""Values that mirror the world: places, endpoints, callers, contracts."""
+"""Value types that the packages share: configuration, identifiers, steps and clock."""
 
 from bankrudder.world._callers import Caller, CallerClass, CallerRole, Job, Workspace
 from bankrudder.world._clock import Clock, SystemClock
--- a/src/bankrudder/world/_callers.py
+++ b/src/bankrudder/world/_callers.py
@@ -16,7 +16,7 @@
 
 
 class CallerRole(Enum):
-    """What a caller may do besides calling."""
+    """Role of a caller, which determines the operations that it may use."""
 
     CALLER = "caller"
     TRAINER = "trainer"
@@ -26,18 +26,18 @@
 class CallerClass(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """A class of callers that are treated alike under load.
+    """A class of callers with the same priority and limits under load.
 
     Attributes
     ----------
     priority : int
-        A class with a lower number is served first.
+        Requests of a class with a lower number are served first.
     queue_limit : int
-        Most requests of this class that wait for one pool on one host.
+        Maximum number of requests of this class that wait for one pool on one host.
     queue_timeout_s : float
-        Longest wait in seconds before a request is given up on.
+        Longest wait of a request, in seconds, after which it is refused.
     reserved : int
-        Places on each endpoint that lower classes may not take.
+        Slots on each endpoint that classes of lower priority may not use.
     """
 
     name: CallerClassName
@@ -50,7 +50,7 @@
 class Workspace(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """Callers that share an account of usage; endpoints are told its name."""
+    """Callers whose usage is counted together; endpoints receive the name."""
 
     name: WorkspaceName
 
@@ -58,10 +58,10 @@
 class Caller(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """An identity: its class, what it may do, and the hash of its token.
+    """A caller: its class, its permissions and the hash of its token.
 
-    ``token_sha256`` is the hexadecimal SHA-256 of the bearer token, ``workspace`` the
-    one that the caller belongs to, empty for none.
+    ``token_sha256`` is the hexadecimal SHA-256 of the bearer token. ``workspace`` is
+    the workspace that the caller belongs to, empty for none.
     """
 
     name: CallerName
@@ -81,11 +81,12 @@
         Adapter whose versions the trainer publishes; ``base`` is the pool's
         own model.
     max_staleness : int
-        Most versions by which a sample may lag the newest one at the step's opening.
+        Maximum number of versions by which a sample may be older than the newest
+        version at the time when the step is opened.
     max_tokens : int
-        Most tokens of one sample.
+        Maximum number of tokens in one sample.
     sample_timeout_s : float
-        Time in seconds after which a sample of a step is given up.
+        Time in seconds after which an unfinished sample of a step is abandoned.
     """
 
     name: JobName
--- a/src/bankrudder/world/_clock.py
+++ b/src/bankrudder/world/_clock.py
@@ -1,14 +1,14 @@
-"""The clock interface that is passed to everything that needs the time."""
+"""The clock interface, and its implementation by the clocks of the host."""
 
 import time
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """A source of time; tests pass one that they move by hand."""
+    """A source of time; tests pass a clock that they advance themselves."""
 
     def monotonic(self) -> float:
-        """Return seconds that never go back, of no fixed origin."""
+        """Return seconds that never decrease and have no fixed origin."""
         ...
 
     def wall(self) -> float:
@@ -19,12 +19,12 @@
 class SystemClock:
     """The clock of the host.
 
-    Its monotonic time goes on while the host is suspended, which Linux's usual
-    monotonic clock does not: a lease must not outlive a suspension.
+    Unlike Linux's CLOCK_MONOTONIC, its monotonic time includes time for which the host
+    is suspended, so that a lease also expires during a suspension.
     """
 
     def monotonic(self) -> float:
-        """Return the seconds since the host started."""
+        """Return the seconds since the host booted."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
--- a/src/bankrudder/world/_configuration.py
+++ b/src/bankrudder/world/_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: everything that operators decide, in one document."""
+"""The configuration: everything that operators manage, in one document."""
 
 import msgspec
 
@@ -10,9 +10,9 @@
 class Configuration(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """What is in force on every node, replaced as a whole by a new revision.
+    """The document in force on every node, replaced as a whole by a new revision.
 
-    The order within each tuple has no meaning; names are unique in each.
+    The order within each tuple has no meaning; names are unique within a tuple.
     """
 
     data_centres: tuple[DataCentre, ...] = ()
--- a/src/bankrudder/world/_endpoints.py
+++ b/src/bankrudder/world/_endpoints.py
@@ -1,4 +1,4 @@
-"""Pools of endpoints, and the contract that each pool keeps."""
+"""Pools of endpoints, and the contract of each pool."""
 
 from enum import Enum
 
@@ -8,7 +8,7 @@
 
 
 class PoolKind(Enum):
-    """What stands behind a pool."""
+    """Kind of a pool's endpoints."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -17,20 +17,20 @@
 class Contract(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """What a pool's endpoints promise about the requests they receive.
+    """Guarantees of a pool's endpoints, and limits of the calls to them.
 
     Attributes
     ----------
     idempotent : bool
-        Whether a request may be sent again after its outcome is unknown.
+        Whether a request whose outcome is unknown may be sent again.
     resumes : bool
         Whether a broken stream can be resumed from an event.
     retry_window_s : float
-        Seconds for which the answer to a key is kept for repeats.
+        Seconds for which the answer to an idempotency key is kept for retries.
     timeout_s : float
-        Longest time in seconds that one call may take.
+        Longest duration of one call in seconds.
     max_attempts : int
-        Most endpoints that one call may be sent to.
+        Maximum number of endpoints to which one call is sent.
     """
 
     idempotent: bool = False
@@ -41,7 +41,7 @@
 
 
 class Pool(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Endpoints that can stand in for one another.
+    """A set of interchangeable endpoints.
 
     Attributes
     ----------
@@ -50,8 +50,8 @@
     model : str
         Model that an engine pool serves, empty for a service pool.
     host, path : str
-        Host name and path that its endpoints expect in a request; the method of a
-        call is added to the path.
+        Host name and path of the requests to its endpoints; the method of a call is
+        appended to the path.
     """
 
     name: PoolName
--- a/src/bankrudder/world/_ids.py
+++ b/src/bankrudder/world/_ids.py
@@ -1,9 +1,9 @@
-"""Identifier types, one for each kind of thing that is named."""
+"""Identifier types, one for each kind of object."""
 
 from typing import NewType
 
 HostId = NewType("HostId", str)
-"""Name of a host of the system, unique over all data centres."""
+"""Name of a host, unique across all data centres."""
 
 Address = NewType("Address", str)
 """``ip:port`` of a listener."""
@@ -17,25 +17,25 @@
 JobName = NewType("JobName", str)
 
 CallKey = NewType("CallKey", str)
-"""Idempotency key that a caller mints: a UUID of version 7."""
+"""Idempotency key that a caller generates: a UUID of version 7."""
 
 ModelVersion = NewType("ModelVersion", int)
-"""Number of a set of weights of one model, growing by publication."""
+"""Number of a set of weights of one model, increasing with each publication."""
 
 Revision = NewType("Revision", int)
-"""Number of a configuration, growing by one with each accepted change."""
+"""Number of a configuration, increasing by one with each accepted change."""
 
 WorkspaceName = NewType("WorkspaceName", str)
-"""Name of a group of callers that share keys, batches and an account of usage."""
+"""Name of a group of callers that share API keys, batches and usage reports."""
 
 NO_WORKSPACE = WorkspaceName("")
-"""Whose a request is that runs for no workspace: its route is open to all, or there are
-no workspaces."""
+"""Workspace of a request that belongs to none, because its route needs no API key or
+no workspaces are configured."""
 
 SampleId = NewType("SampleId", str)
-"""Name of a text to generate, unique in its batch."""
+"""Name of a sample, which is a text to generate, unique within its batch."""
 
 GroupId = NewType("GroupId", str)
-"""Name of samples of one prompt, which a trainer uses together."""
+"""Name of a group: the samples of one prompt, which a trainer uses together."""
 
 StepNumber = NewType("StepNumber", int)
--- a/src/bankrudder/world/_limits.py
+++ b/src/bankrudder/world/_limits.py
@@ -1,17 +1,18 @@
-"""Bounds on what callers may make one host hold."""
+"""Limits on the requests that callers may have in progress on one host."""
 
 import msgspec
 
 
 class RpcLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Bounds on requests of callers and trainers; operators have none.
+    """Limits on the requests of callers and trainers; operators have none.
 
     Attributes
     ----------
     max_requests, max_requests_per_caller : int
-        Requests in progress, of all callers and of one.
+        Number of requests in progress, of all callers together and of each caller.
     max_held_bytes, max_held_bytes_per_caller : int
-        Bytes of requests in progress, of all callers and of one.
+        Size of the requests in progress in bytes, of all callers together and of each
+        caller.
     """
 
     max_requests: int = 8192
--- a/src/bankrudder/world/_places.py
+++ b/src/bankrudder/world/_places.py
@@ -1,4 +1,4 @@
-"""Places: data centres, and the data classes that restrict them."""
+"""Data centres, and the data classes that restrict where records are processed."""
 
 import msgspec
 
--- a/src/bankrudder/world/_steps.py
+++ b/src/bankrudder/world/_steps.py
@@ -1,4 +1,4 @@
-"""Steps: what a trainer asks for, and what it receives."""
+"""Training steps: the samples that a trainer requests and receives."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 class StepShape(msgspec.Struct, frozen=True):
-    """How many samples a step has."""
+    """Numbers of groups and samples of a step."""
 
     groups: int
     samples_per_group: int
@@ -29,7 +29,7 @@
 
 
 class VersionSpan(msgspec.Struct, frozen=True):
-    """A version, and the events of an engine's stream that it made."""
+    """A model version, and the number of stream events that it generated."""
 
     version: ModelVersion
     events: int
@@ -45,11 +45,11 @@
 
     @property
     def oldest_version(self) -> ModelVersion:
-        """The oldest version that made any of it."""
+        """The oldest version that generated a part of the sample."""
         return min(span.version for span in self.versions)
 
 
 class StepEnd(msgspec.Struct, frozen=True):
-    """The mark that all samples were delivered."""
+    """The end of a step, after the delivery of all samples."""
 
     delivered: int
--- a/src/bankrudder_node.py
+++ b/src/bankrudder_node.py
@@ -2,30 +2,30 @@
 
 import os
 
-_AUTHORITIES = "SSL_CERT_FILE"
+_CERTIFICATES_VARIABLE = "SSL_CERT_FILE"
 
 
 def _import_http_library() -> None:
-    """Import aiohttp without the system's certificate authorities.
+    """Import aiohttp without loading the system's certificate authorities.
 
-    It reads all of them as it is imported. A fleet that lost all of its hosts serves
-    again when its processes have started, and this is a fifth of the processor time
-    until the daemon's modules are there: 0.39 s in place of 0.50 s (least of twelve
-    starts each, in turn; medians beside other work 0.62 and 0.77 s).
+    On import, aiohttp loads all of them, which takes a fifth of the processor time for
+    importing the daemon's modules: without them it is 0.39 s instead of 0.50 s, and
+    0.62 s instead of 0.77 s beside other load. A fleet that lost all of its hosts
+    cannot serve until its processes have started, so this time counts.
 
-    The daemon's connections through aiohttp are plain HTTP; one with TLS would find no
-    authority and fail. What is imported later, such as the export of traces, finds the
-    variable as it was.
+    The daemon's connections through aiohttp are plain HTTP; a TLS connection would have
+    no certificate authority and fail. Modules that are imported later, such as the
+    export of traces, see the original value of the environment variable.
     """
-    before = os.environ.get(_AUTHORITIES)
-    os.environ[_AUTHORITIES] = os.devnull
+    original = os.environ.get(_CERTIFICATES_VARIABLE)
+    os.environ[_CERTIFICATES_VARIABLE] = os.devnull
     try:
         import aiohttp  # noqa: F401
     finally:
-        if before is None:
-            del os.environ[_AUTHORITIES]
+        if original is None:
+            del os.environ[_CERTIFICATES_VARIABLE]
         else:
-            os.environ[_AUTHORITIES] = before
+            os.environ[_CERTIFICATES_VARIABLE] = original
 
 
 def _run() -> None:
