--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for all tests: the loop of the daemon, and seeded examples."""
+"""Settings for all tests: the daemon's event loop, time limits and seeded examples."""
 
 import asyncio
 import functools
@@ -16,8 +16,8 @@
 )
 hypothesis.settings.load_profile("seeded")
 
-GUARD_SHARE = 0.75
-"""Part of a test's time limit after which it is cancelled and reported."""
+CANCEL_SHARE = 0.75
+"""Share of a test's time limit after which the test is cancelled and fails."""
 
 
 def pytest_asyncio_loop_factories(config, item):
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 async def session():
-    """Return an HTTP session of the test's own loop."""
+    """Return an HTTP session on the test's own event loop."""
     async with aiohttp.ClientSession() as session:
         yield session
 
@@ -43,15 +43,15 @@
         if inspect.iscoroutinefunction(test) and not hasattr(test, "hypothesis"):
             marker = item.get_closest_marker("timeout")
             limit_s = marker.args[0] if marker and marker.args else default_s
-            item.obj = _guarded(test, GUARD_SHARE * limit_s)
+            item.obj = _with_timeout(test, CANCEL_SHARE * limit_s)
 
 
-def _guarded(test, limit_s):
-    # A signal does not interrupt uvloop, and pytest-timeout's thread ends the
-    # whole run; this fails the hanging test alone.
+def _with_timeout(test, limit_s):
+    # A signal does not interrupt uvloop, and the thread method of pytest-timeout ends
+    # the whole run; this timeout fails only the hanging test.
     @functools.wraps(test)
-    async def guarded(*args, **kwargs):
+    async def run_with_timeout(*args, **kwargs):
         async with asyncio.timeout(limit_s):
             return await test(*args, **kwargs)
 
-    return guarded
+    return run_with_timeout
--- a/tests/hand_clock.py
+++ b/tests/hand_clock.py
@@ -1,10 +1,10 @@
-"""A clock that stands still until a test moves it."""
+"""A clock that advances only when a test advances it."""
 
 START_WALL_S = 1_700_000_000.0
 
 
 class HandClock:
-    """A `bankrudder.world.Clock` that is moved by hand, in seconds."""
+    """A `bankrudder.world.Clock` that a test advances, in seconds."""
 
     def __init__(self, wall=START_WALL_S, monotonic=0.0):
         self._wall = wall
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,18 +1,18 @@
-"""Loopback addresses that no other run of the tests uses at the same time."""
+"""Loopback addresses that no test run in parallel uses."""
 
 import itertools
 import os
 
 FIRST_PORT = 7500
-"""Below the ports that the system gives out, and beside those of the rig."""
+"""Below the system's ephemeral ports, and apart from the ports of the rig."""
 
-HOSTS = 254
+OCTET_VALUES = 254
 
 _numbers = itertools.count()
 
 
 def own_address() -> str:
-    """Return an address of this process's own, never given twice."""
-    port, host = divmod(next(_numbers), HOSTS)
-    upper, lower = divmod(os.getpid(), HOSTS)
-    return f"127.{1 + upper % HOSTS}.{1 + lower}.{1 + host}:{FIRST_PORT + port}"
+    """Return an address that is unique to this process and to this call."""
+    port, host = divmod(next(_numbers), OCTET_VALUES)
+    upper, lower = divmod(os.getpid(), OCTET_VALUES)
+    return f"127.{1 + upper % OCTET_VALUES}.{1 + lower}.{1 + host}:{FIRST_PORT + port}"
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""House rules that the linter does not know."""
+"""Style rules that the linter does not check."""
 
 import re
 from pathlib import Path
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_a_module_takes_the_clock_as_an_argument(path):
+def test_a_module_reads_no_global_clock(path):
     text = path.read_text()
     assert "time.time(" not in text
     assert "time.monotonic(" not in text
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda path: str(path.relative_to(ROOT)))
-def test_a_module_uses_the_public_surface_of_other_packages(path):
+def test_a_module_imports_only_public_names_of_other_packages(path):
     private = set(PRIVATE_IMPORT.findall(path.read_text()))
     assert private - {path.parent.name} == set()
