--- a/src/bankrudder/store/_recovering.py
+++ b/src/bankrudder/store/_recovering.py
@@ -36,7 +36,7 @@
 store's return; with it ten hosts make 100 small reads per second during an outage."""
 
 PROBE_SHARE = 0.1
-"""Share of the reads of `ReadPace` that the probes of all hosts may take."""
+"""Share of the reads that `ReadPace` allows, for the probes of all hosts."""
 
 PROBE_TIMEOUT_S = 0.6
 """Timeout of a probe: twice the duration of a read when the store is sixty times slower
@@ -72,8 +72,8 @@
     Parameters
     ----------
     probe_pause_s : callable
-        Seconds between two probes, long enough for the read capacity that probes of
-        all hosts may take.
+        Seconds between two probes, so that the probes of all hosts stay within their
+        share of the store's read capacity.
     """
 
     def __init__(
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -4,9 +4,10 @@
 import os
 
 FIRST_PORT = 7500
-"""Below the system's ephemeral ports, and apart from the ports of the rig."""
+"""Below the system's ephemeral ports, and apart from the ports of the test rig."""
 
 OCTET_VALUES = 254
+"""Number of values, from 1 to 254, that an octet of an address takes."""
 
 _numbers = itertools.count()
 
