--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -34,7 +34,7 @@
     RowKey,
     RowVersion,
     Store,
-    StoreTrouble,
+    StoreErrorKind,
     StoreUnavailableError,
     Transaction,
     commit_settled,
@@ -138,8 +138,8 @@
                 return AcceptOutcome(ABSENT, kept.digest == digest)
             case Conflict():
                 raise NotSettledError
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
 
     async def head(self, batch_id: BatchId) -> BatchHead | None:
         """Return what is kept about a batch, None if there is none."""
@@ -189,8 +189,8 @@
         match outcome:
             case Committed(version=version):
                 return version
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case _:
                 return None
 
@@ -222,8 +222,8 @@
         match outcome:
             case Committed():
                 return True
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case _:
                 return False
 
@@ -261,8 +261,8 @@
             match outcome:
                 case Committed():
                     return True
-                case NotCommitted(trouble=trouble):
-                    raise StoreUnavailableError(trouble)
+                case NotCommitted(error_kind=error_kind):
+                    raise StoreUnavailableError(error_kind)
                 case Conflict():
                     continue  # a new owner, or an end whose reply was lost
 
@@ -281,7 +281,7 @@
             case Committed() | Conflict():
                 return  # the name holds the digest: what is there is the same
             case _:
-                raise StoreUnavailableError(outcome.trouble)
+                raise StoreUnavailableError(outcome.error_kind)
 
     def _result_puts(
         self, batch_id: BatchId, position: int, result: SampleResult
@@ -333,7 +333,7 @@
 def row_trouble(error: StoreUnavailableError | NotSettledError) -> str:
     """Return why a call to the store failed, for a log line."""
     match error:
-        case StoreUnavailableError(trouble=trouble):
-            return trouble.value
+        case StoreUnavailableError(error_kind=error_kind):
+            return error_kind.value
         case _:
-            return StoreTrouble.NO_REPLY.value
+            return StoreErrorKind.NO_REPLY.value
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -300,7 +300,7 @@
             await asyncio.sleep(LOOK_S)
             self._follow_loads()
             self._presence.set_busy(bool(self._runs))
-            if self._is_leaving or self._follower.lost_since is not None:
+            if self._is_leaving or self._follower.failing_since is not None:
                 continue
             for batch_id, owner, version in self._owners.due_for_me():
                 await self._take_over(batch_id, owner, version)
--- a/src/bankrudder/calls/_once.py
+++ b/src/bankrudder/calls/_once.py
@@ -113,7 +113,7 @@
                     name, record, min(BEGIN_TIMEOUT_S, left_s)
                 )
         except StoreUnavailableError as error:
-            raise _key_not_recorded(error.trouble.value) from None
+            raise _key_not_recorded(error.error_kind.value) from None
         except (NotSettledError, TimeoutError):
             # The request is not sent, so a late write of the record must be undone.
             self._spawn(self._withdraw_late_write(name, record))
@@ -191,13 +191,13 @@
         try:
             return await self._records.read(name)
         except StoreUnavailableError as error:
-            raise _record_unreadable(error.trouble.value) from None
+            raise _record_unreadable(error.error_kind.value) from None
 
     async def _recorded_answer(self, record: CallRecord) -> Answer:
         try:
             body = await self._records.body_of(record)
         except StoreUnavailableError as error:
-            raise _record_unreadable(error.trouble.value) from None
+            raise _record_unreadable(error.error_kind.value) from None
         if body is None:
             raise OutcomeUnknownError(
                 FailureReason.KEY_EXPIRED,
@@ -241,17 +241,17 @@
         task.add_done_callback(self._background.discard)
 
 
-def _key_not_recorded(trouble: str) -> NotRunError:
+def _key_not_recorded(error_kind: str) -> NotRunError:
     return NotRunError(
         FailureReason.STORE_UNAVAILABLE,
-        f"the idempotency key cannot be recorded: {trouble}",
+        f"the idempotency key cannot be recorded: {error_kind}",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
-def _record_unreadable(trouble: str) -> OutcomeUnknownError:
+def _record_unreadable(error_kind: str) -> OutcomeUnknownError:
     return OutcomeUnknownError(
         FailureReason.STORE_UNAVAILABLE,
-        f"the record of the idempotency key cannot be read: {trouble}",
+        f"the record of the idempotency key cannot be read: {error_kind}",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
--- a/src/bankrudder/calls/_records.py
+++ b/src/bankrudder/calls/_records.py
@@ -95,8 +95,8 @@
             case Conflict():
                 # The existing record was withdrawn during this commit.
                 return await self.begin(name, record, retry_limit_s)
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
 
     async def read(self, name: str) -> StoredRecord | None:
         """Return a record, None if there is none.
@@ -134,8 +134,8 @@
             FINISH_TIMEOUT_S,
         )
         match outcome:
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case Conflict():
                 _log.error("calls: record changed by another writer", record=name)
 
@@ -154,7 +154,7 @@
             self._store, transaction, lambda _: False, self._clock, FINISH_TIMEOUT_S
         )
         if isinstance(outcome, NotCommitted):
-            raise StoreUnavailableError(outcome.trouble)
+            raise StoreUnavailableError(outcome.error_kind)
 
     async def body_of(self, record: CallRecord) -> bytes | None:
         """Return the recorded answer, None if it is no longer stored."""
@@ -183,7 +183,7 @@
         object_name = f"call-{name}-{record.attempt}"
         outcome = await self._store.put_object(object_name, record.body)
         if not isinstance(outcome, Committed | Conflict):
-            raise StoreUnavailableError(outcome.trouble)
+            raise StoreUnavailableError(outcome.error_kind)
         return msgspec.structs.replace(record, body=b"", object_name=object_name)
 
 
--- a/src/bankrudder/config/_decode.py
+++ b/src/bankrudder/config/_decode.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import inspect
 
-from bankrudder.exceptions import UNDECODABLE, InvalidError
+from bankrudder.exceptions import DECODE_ERRORS, InvalidError
 from bankrudder.failures import FailureReason
 
 MAX_SHOWN_CHARS = 60
@@ -36,7 +36,7 @@
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
         raise _wrong_field(_parsed(data), kind, str(error)) from error
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         raise _not_json(error) from error
 
 
@@ -72,7 +72,7 @@
     """
     try:
         return msgspec.json.decode(data)
-    except UNDECODABLE as error:
+    except DECODE_ERRORS as error:
         raise _not_json(error) from error
 
 
--- a/src/bankrudder/config/_service.py
+++ b/src/bankrudder/config/_service.py
@@ -33,7 +33,7 @@
     TableFollower,
     Transaction,
     commit_settled,
-    told_as_failures,
+    translate_store_errors,
 )
 from bankrudder.world import Clock, Configuration, HostId, Revision
 
@@ -186,7 +186,7 @@
         revision = Revision(base + 1)
         row = ConfigurationRow(revision, _object_name(revision, document))
         unsettled = "the store gave no reply; the same document may be applied again"
-        with told_as_failures(unsettled, RETRY_AFTER_S):
+        with translate_store_errors(unsettled, RETRY_AFTER_S):
             await self._write(row, document, base)
         _log.info("config: applied", revision=revision, bytes=len(document))
         return await self._wait_until_in_force(revision)
@@ -201,7 +201,7 @@
             raise _revision_conflict(base, before)
         put = await self._store.put_object(row.object_name, document)
         if not isinstance(put, Committed | Conflict):
-            raise StoreUnavailableError(put.trouble)
+            raise StoreUnavailableError(put.error_kind)
         value = msgspec.json.encode(row)
         outcome = await commit_settled(
             self._store,
@@ -211,8 +211,8 @@
             APPLY_TIMEOUT_S,
         )
         match outcome:
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case Conflict():
                 after, _ = await self._read()
                 if after != row:
@@ -245,7 +245,7 @@
         except StoreUnavailableError as error:
             _log.warning(
                 "config: heartbeats not read, using known hosts",
-                reason=error.trouble.value,
+                reason=error.error_kind.value,
             )
 
     def _pending_hosts(self, revision: Revision) -> tuple[HostId, ...]:
@@ -281,7 +281,7 @@
             _log.warning(
                 "config: document not read yet",
                 revision=newest.revision,
-                reason=error.trouble.value,
+                reason=error.error_kind.value,
             )
             return False
         if document is None:
--- a/src/bankrudder/exceptions.py
+++ b/src/bankrudder/exceptions.py
@@ -4,7 +4,7 @@
 
 from bankrudder.failures import Failure, FailureKind, FailureReason
 
-UNDECODABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 """Exceptions of the decoder for invalid input.
 
 `RecursionError` is raised for documents with too many levels of nesting.
--- a/src/bankrudder/leases/_duty.py
+++ b/src/bankrudder/leases/_duty.py
@@ -30,4 +30,6 @@
         try:
             await work()
         except StoreUnavailableError as error:
-            _log.warning("leases: duty put off", duty=duty, reason=error.trouble.value)
+            _log.warning(
+                "leases: duty put off", duty=duty, reason=error.error_kind.value
+            )
--- a/src/bankrudder/leases/_lease.py
+++ b/src/bankrudder/leases/_lease.py
@@ -206,9 +206,9 @@
                 _log.info("leases: taken", lease=self._name, fence=taken)
             case Conflict():
                 self._seen = None
-            case NotCommitted(trouble=trouble):
+            case NotCommitted(error_kind=error_kind):
                 self._seen = None
-                raise StoreUnavailableError(trouble)
+                raise StoreUnavailableError(error_kind)
 
     async def _renew(self) -> None:
         began = self._clock.monotonic()
@@ -221,8 +221,8 @@
                 self._extend(began)
             case Conflict():
                 self._drop("taken by another host")
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
 
     def _row(self, count: int, fence: RowVersion) -> LeaseRow:
         return LeaseRow(self._host, self._lifetime, count, fence, self._address)
--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -172,7 +172,7 @@
             _log.warning(
                 "gateway: batch not accepted",
                 batch=batch.id,
-                reason=error.trouble.value,
+                reason=error.error_kind.value,
             )
             return NotRun(RejectReason.STORE_UNAVAILABLE, ACCEPT_RETRY_AFTER_S)
         except NotSettledError:
@@ -233,6 +233,6 @@
 
 def _not_known(batch_id: BatchId, error: StoreUnavailableError) -> NotRun:
     _log.warning(
-        "gateway: cannot tell of a batch", batch=batch_id, reason=error.trouble.value
+        "gateway: cannot tell of a batch", batch=batch_id, reason=error.error_kind.value
     )
     return NotRun(RejectReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_S)
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_parts.py
@@ -323,7 +323,7 @@
         return (
             self.view.is_complete
             and self.presence.is_announced
-            and not is_cut_off(self._recovering.fails_since, self._clock)
+            and not is_cut_off(self._recovering.failing_since, self._clock)
         )
 
     def _probe_pace(self) -> ReadPace:
--- a/src/bankrudder/node/_world_view.py
+++ b/src/bankrudder/node/_world_view.py
@@ -91,7 +91,7 @@
 
     def list_current_for_s(self) -> float:
         """Return the seconds for which reads of the endpoints' list have not failed."""
-        return self._endpoints.current_for_s()
+        return self._endpoints.failure_free_s()
 
     def set_more_routes(self, routes: Iterable[Route]) -> None:
         """Replace the routes of the project's own configuration."""
@@ -136,7 +136,7 @@
     async def _remove_overdue(self) -> None:
         while True:
             await asyncio.sleep(OVERDUE_LOOK_S)
-            if self._endpoints.lost_since is None:
+            if self._endpoints.failing_since is None:
                 self._directory.remove_overdue()
 
     def _on_document(self, row: Row) -> None:
@@ -186,8 +186,8 @@
             self._directory.put(endpoint)
 
     def _on_endpoint_removed(self, key: RowKey) -> None:
-        regained_at = self._endpoints.regained_at
-        if self._endpoints.lost_since is not None:
-            regained_at = self._clock.monotonic()
-        keep_until = 0.0 if regained_at is None else regained_at + RETURN_S
+        recovered_at = self._endpoints.recovered_at
+        if self._endpoints.failing_since is not None:
+            recovered_at = self._clock.monotonic()
+        keep_until = 0.0 if recovered_at is None else recovered_at + RETURN_S
         self._directory.remove(EndpointId(key.key), keep_until)
--- a/src/bankrudder/orders/_paces.py
+++ b/src/bankrudder/orders/_paces.py
@@ -94,7 +94,7 @@
         try:
             page = await self._store.read(PACES_TABLE, "")
         except StoreUnavailableError as error:
-            _log.info("orders: paces not read", reason=error.trouble.value)
+            _log.info("orders: paces not read", reason=error.error_kind.value)
             return
         gone = []
         for row in page.rows:
--- a/src/bankrudder/platform/_store.py
+++ b/src/bankrudder/platform/_store.py
@@ -21,7 +21,7 @@
     Row,
     RowKey,
     RowVersion,
-    StoreTrouble,
+    StoreErrorKind,
     StoreUnavailableError,
     Transaction,
 )
@@ -49,9 +49,9 @@
 """An idle connection is closed after this time, before it can fall silent."""
 
 _TROUBLE_OF_STATUS = {
-    429: StoreTrouble.RATE_LIMITED,
-    503: StoreTrouble.BUSY,
-    507: StoreTrouble.FULL,
+    429: StoreErrorKind.RATE_LIMITED,
+    503: StoreErrorKind.BUSY,
+    507: StoreErrorKind.FULL,
 }
 
 
@@ -97,9 +97,9 @@
 class _Unanswered(Exception):
     """There is no usable reply; `may_be_done` tells whether the call was sent."""
 
-    def __init__(self, trouble: StoreTrouble, may_be_done: bool):
-        super().__init__(trouble.value)
-        self.trouble = trouble
+    def __init__(self, error_kind: StoreErrorKind, may_be_done: bool):
+        super().__init__(error_kind.value)
+        self.error_kind = error_kind
         self.may_be_done = may_be_done
 
 
@@ -196,7 +196,7 @@
                 "GET", names.GET_OBJECT_PATH + name, timeout_s=OBJECT_TIMEOUT_S
             )
         except _Unanswered as error:
-            raise StoreUnavailableError(error.trouble) from None
+            raise StoreUnavailableError(error.error_kind) from None
         match status:
             case 200:
                 return body
@@ -210,7 +210,7 @@
         try:
             status, _ = await self._call("DELETE", names.DROP_OBJECT_PATH + name)
         except _Unanswered as error:
-            return CommitUnknown(error.trouble)
+            return CommitUnknown(error.error_kind)
         if status in (200, 204, 404):
             return Committed(RowVersion(0))
         return NotCommitted(_trouble(status))
@@ -230,7 +230,7 @@
                 case _:
                     raise StoreUnavailableError(_trouble(status))
         except _Unanswered as error:
-            raise StoreUnavailableError(error.trouble) from None
+            raise StoreUnavailableError(error.error_kind) from None
 
     async def _call(
         self,
@@ -254,9 +254,9 @@
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            raise _Unanswered(StoreTrouble.UNREACHABLE, False) from None
+            raise _Unanswered(StoreErrorKind.UNREACHABLE, False) from None
         except (TimeoutError, aiohttp.ClientError, OSError):
-            raise _Unanswered(StoreTrouble.NO_REPLY, True) from None
+            raise _Unanswered(StoreErrorKind.NO_REPLY, True) from None
 
     def _opened(self) -> aiohttp.ClientSession:
         # The session is made here because it needs the running loop.
@@ -308,7 +308,7 @@
         changes = tuple(_change(row) for row in wire.rows if row.ver)
     except (msgspec.DecodeError, ValueError):
         _log.warning("store: reply not understood", bytes=len(body))
-        raise _Unanswered(StoreTrouble.NO_REPLY, True) from None
+        raise _Unanswered(StoreErrorKind.NO_REPLY, True) from None
     return _Reply(
         changes,
         tuple(wire.parts),
@@ -320,9 +320,9 @@
 
 def _not_known(error: _Unanswered) -> NotCommitted | CommitUnknown:
     if error.may_be_done:
-        return CommitUnknown(error.trouble)
-    return NotCommitted(error.trouble)
+        return CommitUnknown(error.error_kind)
+    return NotCommitted(error.error_kind)
 
 
-def _trouble(status: int) -> StoreTrouble:
-    return _TROUBLE_OF_STATUS.get(status, StoreTrouble.REJECTED)
+def _trouble(status: int) -> StoreErrorKind:
+    return _TROUBLE_OF_STATUS.get(status, StoreErrorKind.REJECTED)
--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -212,14 +212,14 @@
 
         None while this host cannot read the rows.
         """
-        if self._follower.lost_since is not None:
+        if self._follower.failing_since is not None:
             return []
         since = self._clock.monotonic() - seconds
-        regained_at = self._follower.regained_at or 0.0
+        recovered_at = self._follower.recovered_at or 0.0
         return [
             (host, seen.version)
             for host, seen in self._seen.others(self._host)
-            if max(seen.at, regained_at) < since
+            if max(seen.at, recovered_at) < since
         ]
 
     def host_count(self) -> int:
@@ -343,8 +343,8 @@
             # The rows of the heartbeats take no writes: nobody's can arrive.
             return True
         read_at = self._follower.last_read_at or 0.0
-        regained_at = self._follower.regained_at or 0.0
+        recovered_at = self._follower.recovered_at or 0.0
         seen = self._seen[host]
-        since = max(seen.at, regained_at, self._sender.works_since)
+        since = max(seen.at, recovered_at, self._sender.works_since)
         silence_s = MISSED_HEARTBEATS * seen.beat.interval_s
         return read_at - since < silence_s
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -6,7 +6,7 @@
 from bankrudder.rpc._context import RpcContext
 from bankrudder.rpc._status import NodeState, StatusBoard
 from bankrudder.rpc._types import ServicerContext
-from bankrudder.store import told_as_failures
+from bankrudder.store import translate_store_errors
 from bankrudder.usage import UsageLine, UsageRows
 from bankrudder.v1 import bankrudder_pb2 as pb
 from bankrudder.v1 import bankrudder_pb2_grpc as pb_grpc
@@ -100,7 +100,7 @@
         """Return the newest windows of usage, from the store."""
         self._rpc.operator_of(context)
         most = min(request.windows or USAGE_WINDOWS, MOST_USAGE_WINDOWS)
-        with told_as_failures("nothing was changed", RETRY_AFTER_S):
+        with translate_store_errors("nothing was changed", RETRY_AFTER_S):
             lines = await self._usage.lines(most)
         return pb.UsageReply(windows=[_window_to_proto(line) for line in lines])
 
--- a/src/bankrudder/steps/_publishing.py
+++ b/src/bankrudder/steps/_publishing.py
@@ -19,7 +19,7 @@
     StoreUnavailableError,
     Transaction,
     commit_settled,
-    told_as_failures,
+    translate_store_errors,
 )
 from bankrudder.world import Clock, ModelVersion
 
@@ -57,7 +57,7 @@
             raise InvalidError(
                 FailureReason.BAD_REQUEST, "must be at least 1", field="version"
             )
-        with told_as_failures("the store gave no reply", RETRY_AFTER_S):
+        with translate_store_errors("the store gave no reply", RETRY_AFTER_S):
             newest = await self._write_if_newer(model, version)
         _log.info("steps: version published", model=model, version=newest)
         return newest
@@ -81,8 +81,8 @@
             match outcome:
                 case Conflict():
                     continue  # another version was published concurrently
-                case NotCommitted(trouble=trouble):
-                    raise StoreUnavailableError(trouble)
+                case NotCommitted(error_kind=error_kind):
+                    raise StoreUnavailableError(error_kind)
                 case _:
                     return version
 
--- a/src/bankrudder/steps/_service.py
+++ b/src/bankrudder/steps/_service.py
@@ -39,7 +39,7 @@
 from bankrudder.fleet import Generation
 from bankrudder.routing import ModelName
 from bankrudder.steps._values import StepSpec
-from bankrudder.store import StoreUnavailableError, told_as_failures
+from bankrudder.store import StoreUnavailableError, translate_store_errors
 from bankrudder.world import (
     Caller,
     Clock,
@@ -156,7 +156,7 @@
             _batch_id(job_name, step, _min_version(job, version))
             for version in opened_versions
         }
-        with told_as_failures("the store gave no reply", RETRY_AFTER_S):
+        with translate_store_errors("the store gave no reply", RETRY_AFTER_S):
             for batch_id in sorted(batch_ids):
                 await self._repository.end(batch_id)
 
@@ -214,7 +214,7 @@
         unsettled = (
             "the store gave no reply; the step may be open and may be opened again"
         )
-        with told_as_failures(unsettled, RETRY_AFTER_S):
+        with translate_store_errors(unsettled, RETRY_AFTER_S):
             is_same = await self._batches.accept(batch)
             if is_same or await self._has_prompts_of(batch):
                 return
@@ -270,7 +270,7 @@
                 _log.info(
                     "steps: results not read yet",
                     batch=batch_id,
-                    reason=error.trouble.value,
+                    reason=error.error_kind.value,
                 )
                 await asyncio.sleep(RETRY_PAUSE_S)
                 continue
--- a/src/bankrudder/store/__init__.py
+++ b/src/bankrudder/store/__init__.py
@@ -5,7 +5,7 @@
     NotSettledError,
     StoreUnavailableError,
 )
-from bankrudder.store._failures import told_as_failures
+from bankrudder.store._failures import translate_store_errors
 from bankrudder.store._following import TableFollower
 from bankrudder.store._measured import MeasuredStore
 from bankrudder.store._pace import ReadPace
@@ -32,7 +32,7 @@
     Row,
     RowKey,
     RowVersion,
-    StoreTrouble,
+    StoreErrorKind,
     Transaction,
 )
 
@@ -60,12 +60,12 @@
     "RowKey",
     "RowVersion",
     "Store",
-    "StoreTrouble",
+    "StoreErrorKind",
     "StoreUnavailableError",
     "TableFollower",
     "Transaction",
     "commit_settled",
     "read_all",
     "remove_all",
-    "told_as_failures",
+    "translate_store_errors",
 ]
--- a/src/bankrudder/store/_errors.py
+++ b/src/bankrudder/store/_errors.py
@@ -1,14 +1,14 @@
 """Exceptions of calls to the store."""
 
-from bankrudder.store._values import StoreTrouble
+from bankrudder.store._values import StoreErrorKind
 
 
 class StoreUnavailableError(Exception):
-    """The store gave no result; ``trouble`` tells why."""
+    """The store gave no result; ``error_kind`` tells why."""
 
-    def __init__(self, trouble: StoreTrouble):
-        super().__init__(f"store call gave no result: {trouble.value}")
-        self.trouble = trouble
+    def __init__(self, error_kind: StoreErrorKind):
+        super().__init__(f"store call gave no result: {error_kind.value}")
+        self.error_kind = error_kind
 
 
 class HistoryLostError(Exception):
--- a/src/bankrudder/store/_failures.py
+++ b/src/bankrudder/store/_failures.py
@@ -9,7 +9,7 @@
 
 
 @contextmanager
-def told_as_failures(unknown_detail: str, retry_after_s: float) -> Iterator[None]:
+def translate_store_errors(unknown_detail: str, retry_after_s: float) -> Iterator[None]:
     """Translate store errors of the ``with`` block into errors for the caller.
 
     Parameters
@@ -31,7 +31,7 @@
         yield
     except StoreUnavailableError as error:
         raise NotRunError(
-            reason, error.trouble.value, retry_after_s=retry_after_s
+            reason, error.error_kind.value, retry_after_s=retry_after_s
         ) from None
     except NotSettledError:
         raise OutcomeUnknownError(
--- a/src/bankrudder/store/_following.py
+++ b/src/bankrudder/store/_following.py
@@ -78,16 +78,16 @@
         return self._last_read_at
 
     @property
-    def lost_since(self) -> float | None:
+    def failing_since(self) -> float | None:
         """Monotonic time since when reads fail, None if the last read succeeded."""
         return self._failing_since
 
     @property
-    def regained_at(self) -> float | None:
+    def recovered_at(self) -> float | None:
         """Monotonic time of the first successful read after the last failed ones."""
         return self._recovered_at
 
-    def current_for_s(self) -> float:
+    def failure_free_s(self) -> float:
         """Return the seconds for which no read has failed, 0 before the first read."""
         if self._last_read_at is None or self._failing_since is not None:
             return 0.0
@@ -193,5 +193,5 @@
         if self._failing_since is None:
             self._failing_since = self._clock.monotonic()
             _log.warning(
-                "store: reads fail", table=self._table, reason=error.trouble.value
+                "store: reads fail", table=self._table, reason=error.error_kind.value
             )
--- a/src/bankrudder/store/_measured.py
+++ b/src/bankrudder/store/_measured.py
@@ -72,7 +72,7 @@
             outcome = _outcome(value)
             return value
         except StoreUnavailableError as error:
-            outcome = error.trouble.value
+            outcome = error.error_kind.value
             raise
         except HistoryLostError:
             outcome = "history_lost"
--- a/src/bankrudder/store/_recovering.py
+++ b/src/bankrudder/store/_recovering.py
@@ -24,7 +24,7 @@
     NotCommitted,
     Page,
     RowVersion,
-    StoreTrouble,
+    StoreErrorKind,
     Transaction,
 )
 from bankrudder.world import Clock
@@ -54,10 +54,10 @@
 
 _PROBE_TABLE = "leases"
 _OUTAGE_ERRORS = frozenset(
-    {StoreTrouble.BUSY, StoreTrouble.UNREACHABLE, StoreTrouble.NO_REPLY}
+    {StoreErrorKind.BUSY, StoreErrorKind.UNREACHABLE, StoreErrorKind.NO_REPLY}
 )
 
-_NOT_SERVED_ERRORS = _OUTAGE_ERRORS | {StoreTrouble.RATE_LIMITED}
+_NOT_SERVED_ERRORS = _OUTAGE_ERRORS | {StoreErrorKind.RATE_LIMITED}
 
 NOT_SERVED_PROBE_PAUSE_S = 0.5
 """Pause between two probes while the store refuses this host: half of the interval of
@@ -86,7 +86,7 @@
         self._clock = clock
         self._probe_pause_s = probe_pause_s
         self._detector = OutageDetector()
-        self._last_error_kind = StoreTrouble.NO_REPLY
+        self._last_error_kind = StoreErrorKind.NO_REPLY
         self._outage_ended = asyncio.Event()
         self._in_flight: dict[asyncio.Timeout, float] = {}
         self._outage_probe_task: asyncio.Task[None] | None = None
@@ -94,7 +94,7 @@
         self._not_served_probe_task: asyncio.Task[None] | None = None
 
     @property
-    def fails_since(self) -> float | None:
+    def failing_since(self) -> float | None:
         """Monotonic time since when calls fail, None if the last call succeeded.
 
         Unlike an outage this includes calls that are refused by a rate limit, as when
@@ -140,14 +140,17 @@
         if not await self._wait_until_available():
             return NotCommitted(self._last_error_kind)
         began = self._clock.monotonic()
-        outcome: CommitOutcome = CommitUnknown(StoreTrouble.NO_REPLY)
+        outcome: CommitOutcome = CommitUnknown(StoreErrorKind.NO_REPLY)
         with suppress(TimeoutError):
             async with self._timeout_after_outage(began):
                 outcome = await call()
         match outcome:
-            case CommitUnknown(trouble=trouble) | NotCommitted(trouble=trouble):
-                self._note_outcome(trouble)
-                self._note_error(began, trouble)
+            case (
+                CommitUnknown(error_kind=error_kind)
+                | NotCommitted(error_kind=error_kind)
+            ):
+                self._note_outcome(error_kind)
+                self._note_error(began, error_kind)
             case _:
                 self._note_outcome(None)
                 self._note_answer(began)
@@ -165,11 +168,11 @@
             self._note_answer(began)
             raise
         except StoreUnavailableError as error:
-            self._note_outcome(error.trouble)
-            self._note_error(began, error.trouble)
+            self._note_outcome(error.error_kind)
+            self._note_error(began, error.error_kind)
             raise
         except TimeoutError:
-            raise StoreUnavailableError(StoreTrouble.NO_REPLY) from None
+            raise StoreUnavailableError(StoreErrorKind.NO_REPLY) from None
         self._note_outcome(None)
         self._note_answer(began)
         return result
@@ -193,9 +196,9 @@
             finally:
                 del self._in_flight[scope]
 
-    def _note_outcome(self, trouble: StoreTrouble | None) -> None:
+    def _note_outcome(self, error_kind: StoreErrorKind | None) -> None:
         """Record how a call of this host ended; None for an answer."""
-        if trouble not in _NOT_SERVED_ERRORS:
+        if error_kind not in _NOT_SERVED_ERRORS:
             self._failing_since = None
         elif self._failing_since is None:
             self._failing_since = self._clock.monotonic()
@@ -216,14 +219,14 @@
         if ended is not None:
             self._resume_calls(ended)
 
-    def _note_error(self, began: float, trouble: StoreTrouble) -> None:
-        if trouble not in _OUTAGE_ERRORS:
+    def _note_error(self, began: float, error_kind: StoreErrorKind) -> None:
+        if error_kind not in _OUTAGE_ERRORS:
             self._note_answer(began)
             return
-        self._last_error_kind = trouble
+        self._last_error_kind = error_kind
         match self._detector.note_failure(began):
             case OutageBegan():
-                _log.warning("store: outage, calls wait", reason=trouble.value)
+                _log.warning("store: outage, calls wait", reason=error_kind.value)
                 self._outage_ended.clear()
                 self._outage_probe_task = asyncio.ensure_future(
                     self._probe_until_outage_ends()
--- a/src/bankrudder/store/_settling.py
+++ b/src/bankrudder/store/_settling.py
@@ -18,7 +18,7 @@
     CommitUnknown,
     Conflict,
     NotCommitted,
-    StoreTrouble,
+    StoreErrorKind,
     Transaction,
 )
 from bankrudder.world import Clock
@@ -81,7 +81,7 @@
                 if may_be_done and is_ours(outcome):
                     return Committed(max(row.version for row in outcome.rows))
                 return outcome
-            case NotCommitted(trouble=StoreTrouble.REJECTED):
+            case NotCommitted(error_kind=StoreErrorKind.REJECTED):
                 _log.error("store: transaction rejected", may_be_done=may_be_done)
                 break
             case NotCommitted():
--- a/src/bankrudder/store/_values.py
+++ b/src/bankrudder/store/_values.py
@@ -84,7 +84,7 @@
         return next((row for row in self.rows if row.key == key), None)
 
 
-class StoreTrouble(Enum):
+class StoreErrorKind(Enum):
     """Why the store gave no result."""
 
     BUSY = "busy"
@@ -105,13 +105,13 @@
 class NotCommitted(msgspec.Struct, frozen=True):
     """The changes did not take effect and will not."""
 
-    trouble: StoreTrouble
+    error_kind: StoreErrorKind
 
 
 class CommitUnknown(msgspec.Struct, frozen=True):
     """The changes may have taken effect, or may still do so."""
 
-    trouble: StoreTrouble
+    error_kind: StoreErrorKind
 
 
 CommitOutcome = Committed | Conflict | NotCommitted | CommitUnknown
--- a/src/bankrudder/usage/_keeping.py
+++ b/src/bankrudder/usage/_keeping.py
@@ -191,7 +191,7 @@
             GIVE_UP_S,
         )
         if isinstance(outcome, NotCommitted):
-            raise StoreUnavailableError(outcome.trouble)
+            raise StoreUnavailableError(outcome.error_kind)
         return outcome
 
 
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     for name, version in (("a", 2), ("b", 3)):
         models = (ModelState("m", version),)
         directory.put(Endpoint(name, "s", "127.0.0.1:1", "north", 2, models=models))
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def dispatcher(directory, hand_clock):
-    return Dispatcher(directory, hand_clock)
+def dispatcher(directory, manual_clock):
+    return Dispatcher(directory, manual_clock)
 
 
 def demand(rank=0.0, version=1, group="g", sample="x"):
@@ -76,7 +76,7 @@
 
 
 async def test_a_step_does_not_search_all_engines_for_each_sample(
-    directory, hand_clock, monkeypatch
+    directory, manual_clock, monkeypatch
 ):
     """Samples of a step come at one moment, before thousands of engines."""
     models = (ModelState("m", 2),)
@@ -88,7 +88,7 @@
     monkeypatch.setattr(
         directory, "of_service", lambda *key: searches.append(key) or search(*key)
     )
-    dispatcher = Dispatcher(directory, hand_clock)
+    dispatcher = Dispatcher(directory, manual_clock)
     tasks = [asked(dispatcher, group=f"g{number}") for number in range(96)]
     assert None not in await granted(*tasks)
     for task in tasks:
@@ -118,28 +118,28 @@
 
 
 async def test_an_engine_that_comes_is_found_with_the_next_search(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     assert await granted(asked(dispatcher, version=4)) == [None]
     models = (ModelState("m", 4),)
     directory.put(Endpoint("c", "s", "127.0.0.1:1", "north", 2, models=models))
-    hand_clock.advance(RECHECK_S)
+    manual_clock.advance(RECHECK_S)
     assert await granted(asked(dispatcher, version=4)) == ["c"]
 
 
 async def test_a_sample_takes_a_connection_that_is_there(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
-    directory.get("b").note_connection(9.0, hand_clock.monotonic())
+    directory.get("b").note_connection(9.0, manual_clock.monotonic())
     first, second = asked(dispatcher, group="g1"), asked(dispatcher, group="g2")
     assert await granted(first, second) == ["b", "a"]
 
 
 async def test_an_idle_connection_is_no_reason_once_its_time_is_over(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
-    directory.get("b").note_connection(9.0, hand_clock.monotonic())
-    hand_clock.advance(9.0)
+    directory.get("b").note_connection(9.0, manual_clock.monotonic())
+    manual_clock.advance(9.0)
     assert await granted(asked(dispatcher)) == ["a"]
 
 
@@ -163,22 +163,22 @@
 
 
 async def test_an_engine_that_refused_is_left_alone_for_a_moment(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
         dispatcher.pause(directory.get(name), "m")
     task = asked(dispatcher)
     assert await granted(task) == [None]
-    hand_clock.advance(0.2)
+    manual_clock.advance(0.2)
     other = asked(dispatcher)
     assert None not in await granted(task, other)
 
 
 async def test_an_engine_that_loads_gets_nothing_until_it_has_loaded(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
     task = asked(dispatcher)
     assert await granted(task) == [None]
     directory.get("b").note_version("m", 4)
@@ -187,29 +187,29 @@
 
 
 async def test_an_engine_is_not_left_out_for_good_if_its_load_is_never_told(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
-    hand_clock.advance(LOADING_S)
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
+    manual_clock.advance(LOADING_S)
     assert await granted(asked(dispatcher)) != [None]
 
 
 async def test_news_of_a_load_that_is_over_changes_nothing(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
         directory.get(name).note_version("m", 4)
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
     assert await granted(asked(dispatcher)) != [None]
 
 
 async def test_an_engine_that_failed_gets_one_sample_until_it_shows_life(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     dark = directory.get("b")
-    dark.note_failure(hand_clock.monotonic())
-    hand_clock.advance(MAX_SUSPENSION_S)
+    dark.note_failure(manual_clock.monotonic())
+    manual_clock.advance(MAX_SUSPENSION_S)
     tasks = [asked(dispatcher) for _ in range(4)]
     # It comes last, though it is as empty as the other one.
     assert await granted(*tasks) == ["a", "a", "b", None]
@@ -219,13 +219,13 @@
 
 
 async def test_no_sample_moves_to_an_engine_that_failed(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     directory.get("a").note_event_gap(0.1)
     directory.get("b").note_event_gap(0.03)
     slow, quick = directory.get("a"), directory.get("b")
-    quick.note_failure(hand_clock.monotonic())
-    hand_clock.advance(MAX_SUSPENSION_S)
+    quick.note_failure(manual_clock.monotonic())
+    manual_clock.advance(MAX_SUSPENSION_S)
     assert not dispatcher.should_move(demand(), slow, 100)
     quick.note_alive()
     assert dispatcher.should_move(demand(), slow, 100)
@@ -251,17 +251,17 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.1, 0.4])
-async def test_a_slot_is_kept_for_two_looks(dispatcher, directory, hand_clock, gap_s):
+async def test_a_slot_is_kept_for_two_looks(dispatcher, directory, manual_clock, gap_s):
     directory.get("a").note_event_gap(gap_s)
     directory.get("b").note_event_gap(0.03)
     running = [asked(dispatcher, group=f"g{number}") for number in range(4)]
     await granted(*running)
     assert not dispatcher.should_move(demand(sample="y"), directory.get("a"), 50)
-    hand_clock.advance(0.9 * RESERVED_EVENTS * gap_s)
+    manual_clock.advance(0.9 * RESERVED_EVENTS * gap_s)
     dispatcher.release(running[0].result(), "g0")
     waiting = asked(dispatcher)
     assert await granted(waiting) == [None]
-    hand_clock.advance(0.2 * RESERVED_EVENTS * gap_s)
+    manual_clock.advance(0.2 * RESERVED_EVENTS * gap_s)
     assert await granted(asked(dispatcher), waiting) == [None, "b"]
 
 
--- a/tests/batches/test_scoring.py
+++ b/tests/batches/test_scoring.py
@@ -37,13 +37,13 @@
 
 
 @pytest.fixture
-def score(hand_clock):
+def score(manual_clock):
     async def score(*replies):
-        directory = EndpointDirectory("north", hand_clock)
+        directory = EndpointDirectory("north", manual_clock)
         directory.put(Endpoint("e", "g", "127.0.0.1:1", "north", slots=4))
         table = RoutingTable(RoutingConfiguration(1, (ROUTE,), ()))
         forwarder = ScriptedForwarder(replies)
-        scorer = Scorer(forwarder, directory, lambda: table, hand_clock)
+        scorer = Scorer(forwarder, directory, lambda: table, manual_clock)
         return await scorer.score(CALL, trace="")
 
     return score
--- a/tests/calls/conftest.py
+++ b/tests/calls/conftest.py
@@ -14,9 +14,9 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
+def directory(manual_clock):
     """Two endpoints of one service, with two slots each, in two data centres."""
-    directory = EndpointDirectory("north", hand_clock)
+    directory = EndpointDirectory("north", manual_clock)
     for name, data_centre in (("e1", "north"), ("e2", "south")):
         directory.put(Endpoint(EndpointId(name), "desk", "127.0.0.1:1", data_centre, 2))
     return directory
--- a/tests/calls/test_admission.py
+++ b/tests/calls/test_admission.py
@@ -24,8 +24,8 @@
 
 
 @pytest.fixture
-def admission(directory, hand_clock):
-    return AdmissionController(directory, hand_clock)
+def admission(directory, manual_clock):
+    return AdmissionController(directory, manual_clock)
 
 
 async def hold_slot(admission, own_class, order, release):
@@ -64,15 +64,15 @@
     assert admission.waiting_count == 0
 
 
-async def test_load_reported_by_endpoints_counts(admission, directory, hand_clock):
+async def test_load_reported_by_endpoints_counts(admission, directory, manual_clock):
     for name in ("e1", "e2"):
         load = ReportedLoad(2, 0, 2)
-        directory.get(EndpointId(name)).note_load(load, hand_clock.monotonic())
+        directory.get(EndpointId(name)).note_load(load, manual_clock.monotonic())
     order, release = [], asyncio.Event()
     task = asyncio.ensure_future(hold_slot(admission, BROKERS, order, release))
     await let_tasks_run()
     assert order == []
-    hand_clock.advance(2.0)  # the reported load is too old to count
+    manual_clock.advance(2.0)  # the reported load is too old to count
     await let_tasks_run()
     assert order == ["brokers"]
     release.set()
@@ -94,7 +94,7 @@
 
 
 async def test_a_request_is_refused_after_the_queue_timeout_of_its_class(
-    admission, hand_clock
+    admission, manual_clock
 ):
     release = asyncio.Event()
     tasks = [
@@ -102,7 +102,7 @@
         for _ in range(3)
     ]
     await let_tasks_run()
-    hand_clock.advance(3.1)
+    manual_clock.advance(3.1)
     await let_tasks_run()
     with pytest.raises(NotRunError) as caught:
         await tasks[2]
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -101,11 +101,11 @@
     assert node.keys[0] == node.keys[1]
 
 
-async def test_an_answer_that_stays_broken_raises(node, hand_clock):
+async def test_an_answer_that_stays_broken_raises(node, manual_clock):
     """However long a connection takes: only the attempts use up the time."""
     node.script = [WHOLE[:2]] * 3
-    node.on_call = lambda: hand_clock.advance(12.0)
-    caller = Caller.from_config((node.address,), "token", clock=hand_clock)
+    node.on_call = lambda: manual_clock.advance(12.0)
+    caller = Caller.from_config((node.address,), "token", clock=manual_clock)
     async with caller:
         with pytest.raises(OutcomeUnknownError):
             await caller.call("desk", b"x", timeout_s=30.0)
--- a/tests/config/test_service.py
+++ b/tests/config/test_service.py
@@ -15,9 +15,9 @@
 
 
 @pytest.fixture
-async def service(store, hand_clock):
+async def service(store, manual_clock):
     presence = Presence(store, "host", "life", SystemClock())
-    service = ConfigurationService(store, presence, hand_clock)
+    service = ConfigurationService(store, presence, manual_clock)
     task = asyncio.ensure_future(service.run())
     yield service
     task.cancel()
@@ -38,15 +38,15 @@
 
 
 async def test_a_host_refuses_requests_with_an_outdated_configuration(
-    service, document, gate, hand_clock
+    service, document, gate, manual_clock
 ):
     await service.apply(document(), 0)
     await until(lambda: service.revision == 1)
     gate.mode = GateMode.BUSY
     await asyncio.sleep(1.0)
-    hand_clock.advance(MAX_CONFIGURATION_AGE_S - 1)
+    manual_clock.advance(MAX_CONFIGURATION_AGE_S - 1)
     assert service.index
-    hand_clock.advance(2)
+    manual_clock.advance(2)
     with pytest.raises(NotRunError) as caught:
         _ = service.index
     assert caught.value.failure.reason is FailureReason.STALE_CONFIGURATION
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 import pytest
 import uvloop
 
-from hand_clock import HandClock
+from manual_clock import ManualClock
 
 hypothesis.settings.register_profile(
     "seeded", derandomize=True, deadline=None, print_blob=True
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def hand_clock():
-    return HandClock()
+def manual_clock():
+    return ManualClock()
 
 
 @pytest.fixture
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -64,11 +64,11 @@
 
 
 @pytest.fixture
-async def make_host(store, hand_clock, endpoints):
+async def make_host(store, manual_clock, endpoints):
     hosts = []
 
     def make():
-        hosts.append(Host(store, hand_clock, endpoints))
+        hosts.append(Host(store, manual_clock, endpoints))
         return hosts[-1]
 
     yield make
@@ -175,35 +175,37 @@
     assert (endpoints.looks, len(host.guard)) == (2, 1)
 
 
-async def test_an_endpoint_that_is_still_listed_lives(make_host, hand_clock, rows):
+async def test_an_endpoint_that_is_still_listed_lives(make_host, manual_clock, rows):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     assert host.admission() is Admission.REFUSED
     await until(lambda: len(kept(rows)) == 3)
-    hand_clock.advance(SETTLE_S)
+    manual_clock.advance(SETTLE_S)
     await until(lambda: host.admission() is Admission.FREE)
     await until(lambda: kept(rows) == [])
 
 
 async def test_a_list_that_was_read_again_just_now_proves_nothing(
-    make_host, hand_clock
+    make_host, manual_clock
 ):
     host = make_host()
     host.list_current_for_s = 1.0
     await host.lose("e1", "e2", "e3")
-    hand_clock.advance(SETTLE_S)
+    manual_clock.advance(SETTLE_S)
     await asyncio.sleep(0.8)
     assert host.admission() is Admission.REFUSED
     host.list_current_for_s = SETTLE_S
     await until(lambda: host.admission() is Admission.FREE)
 
 
-async def test_endpoints_that_are_gone_from_the_list_have_ended(make_host, hand_clock):
+async def test_endpoints_that_are_gone_from_the_list_have_ended(
+    make_host, manual_clock
+):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     for name in ("e1", "e2", "e3"):
         host.directory.remove(name, 0.0)
-    hand_clock.advance(SETTLE_S)
+    manual_clock.advance(SETTLE_S)
     await asyncio.sleep(0.8)
     assert host.admission() is Admission.REFUSED
 
@@ -227,10 +229,10 @@
     assert len(host.guard) == 1
 
 
-async def test_old_strikes_are_removed_from_the_store(make_host, hand_clock, rows):
+async def test_old_strikes_are_removed_from_the_store(make_host, manual_clock, rows):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     await until(lambda: len(kept(rows)) == 3)
-    hand_clock.advance(25 * 3600.0)
+    manual_clock.advance(25 * 3600.0)
     await host.guard.clean()
     await until(lambda: kept(rows) == [])
--- a/tests/duties/test_duty.py
+++ b/tests/duties/test_duty.py
@@ -41,17 +41,17 @@
     return Duty("duty", api, lease, "a", calls_per_s, clock)
 
 
-async def test_a_call_bears_the_holder_and_its_token(hand_clock):
+async def test_a_call_bears_the_holder_and_its_token(manual_clock):
     api = Api()
-    assert await duty(api, Lease(), hand_clock).call(CALL) is DutyOutcome.DONE
+    assert await duty(api, Lease(), manual_clock).call(CALL) is DutyOutcome.DONE
     [ticket] = api.tickets
     assert (ticket.holder, ticket.fence) == ("a", 7)
 
 
 @pytest.mark.parametrize("left_s", [0.0, MIN_CALL_S / 2])
-async def test_without_enough_of_the_lease_nothing_is_sent(hand_clock, left_s):
+async def test_without_enough_of_the_lease_nothing_is_sent(manual_clock, left_s):
     api = Api()
-    outcome = await duty(api, Lease(left_s), hand_clock).call(CALL)
+    outcome = await duty(api, Lease(left_s), manual_clock).call(CALL)
     assert outcome is DutyOutcome.NOT_ON_DUTY
     assert api.tickets == []
 
@@ -59,16 +59,16 @@
 @pytest.mark.parametrize(
     ("left_s", "timeout_s"), [(2.0, MAX_CALL_S), (0.3, 0.3), (10.0, MAX_CALL_S)]
 )
-async def test_no_call_outlasts_the_lease(hand_clock, left_s, timeout_s):
+async def test_no_call_outlasts_the_lease(manual_clock, left_s, timeout_s):
     api = Api()
-    await duty(api, Lease(left_s), hand_clock).call(CALL)
+    await duty(api, Lease(left_s), manual_clock).call(CALL)
     assert api.tickets[0].timeout_s == timeout_s
 
 
-async def test_the_lease_is_asked_again_right_before_the_sending(hand_clock):
+async def test_the_lease_is_asked_again_right_before_the_sending(manual_clock):
     api = Api()
     lease = Lease()
-    await duty(api, lease, hand_clock).call(CALL)
+    await duty(api, lease, manual_clock).call(CALL)
     [ticket] = api.tickets
     assert ticket.is_held()
     lease.fence = 9  # lost, and taken again
@@ -77,19 +77,19 @@
     assert not ticket.is_held()
 
 
-async def test_calls_are_made_one_after_the_other(hand_clock):
+async def test_calls_are_made_one_after_the_other(manual_clock):
     api = Api(takes_s=0.01)
-    it = duty(api, Lease(), hand_clock)
+    it = duty(api, Lease(), manual_clock)
     await asyncio.gather(*(it.call(CALL) for _ in range(5)))
     assert len(api.tickets) == 5
     assert api.most_at_once == 1
 
 
-async def test_the_lease_is_looked_at_after_waiting_for_a_turn(hand_clock):
+async def test_the_lease_is_looked_at_after_waiting_for_a_turn(manual_clock):
     """What held at the asking need not hold any more when the turn comes."""
     api = Api(takes_s=0.02)
     lease = Lease()
-    it = duty(api, lease, hand_clock)
+    it = duty(api, lease, manual_clock)
     first = asyncio.ensure_future(it.call(CALL))
     await asyncio.sleep(0.005)
     second = asyncio.ensure_future(it.call(CALL))
@@ -98,8 +98,8 @@
     assert await second is DutyOutcome.NOT_ON_DUTY
 
 
-async def test_calls_keep_to_half_of_the_stated_rate(hand_clock):
-    it = duty(Api(), Lease(), hand_clock, calls_per_s=50)
+async def test_calls_keep_to_half_of_the_stated_rate(manual_clock):
+    it = duty(Api(), Lease(), manual_clock, calls_per_s=50)
     loop = asyncio.get_running_loop()
     began = loop.time()
     for _ in range(4):
--- a/tests/feeds/test_cache.py
+++ b/tests/feeds/test_cache.py
@@ -20,8 +20,8 @@
 
 
 @pytest.fixture
-def cache(hand_clock):
-    return FeedCache(hand_clock)
+def cache(manual_clock):
+    return FeedCache(manual_clock)
 
 
 def changes(number, after, version, rows=(), touched=(), removed=()):
@@ -86,29 +86,29 @@
     assert await cache.changes_since("hosts", 12, 0.0) is None
 
 
-async def test_a_silent_reader_makes_the_cache_miss(cache, hand_clock):
+async def test_a_silent_reader_makes_the_cache_miss(cache, manual_clock):
     cache.apply(changes(1, 10, 12))
-    hand_clock.advance(SILENCE_LIMIT_S - 0.1)
+    manual_clock.advance(SILENCE_LIMIT_S - 0.1)
     assert await cache.changes_since("hosts", 12, 0.0) is not None
-    hand_clock.advance(0.2)
+    manual_clock.advance(0.2)
     assert await cache.changes_since("hosts", 12, 0.0) is None
     cache.apply(FeedHeartbeat(2, {"hosts": 0.1}))
     assert await cache.changes_since("hosts", 12, 0.0) is not None
 
 
-async def test_old_reads_of_the_reader_make_the_cache_miss(cache, hand_clock):
+async def test_old_reads_of_the_reader_make_the_cache_miss(cache, manual_clock):
     cache.apply(changes(1, 10, 12))
     cache.apply(FeedHeartbeat(2, {"hosts": MAX_READ_AGE_S - 0.1}))
     assert await cache.changes_since("hosts", 12, 0.0) is not None
-    hand_clock.advance(0.2)
+    manual_clock.advance(0.2)
     assert await cache.changes_since("hosts", 12, 0.0) is None
 
 
-async def test_a_wait_ends_when_the_reader_goes_silent(cache, hand_clock):
+async def test_a_wait_ends_when_the_reader_goes_silent(cache, manual_clock):
     cache.apply(changes(1, 10, 12))
     waiting = asyncio.ensure_future(cache.changes_since("hosts", 12, 60.0))
     await asyncio.sleep(0.01)
-    hand_clock.advance(SILENCE_LIMIT_S + 0.1)
+    manual_clock.advance(SILENCE_LIMIT_S + 0.1)
     assert await asyncio.wait_for(waiting, 2.0) is None
 
 
@@ -125,13 +125,13 @@
     assert await cache.changes_since("hosts", 12, 0.0) is not None
 
 
-def test_a_publisher_sends_values_only_if_their_content_changed(hand_clock):
+def test_a_publisher_sends_values_only_if_their_content_changed(manual_clock):
     sent = []
     publisher = FeedPublisher(
         sent.append,
         lambda row: row.value[:1],
         lambda table: table == "hosts",
-        hand_clock,
+        manual_clock,
     )
     publisher.publish("hosts", 10, Changes((Row(ROW_KEY, 11, b"a1"),), 11))
     publisher.publish("hosts", 11, Changes((Row(ROW_KEY, 12, b"a2"),), 12))
@@ -140,7 +140,7 @@
     server = RowKey("servers", "", "s")
     publisher.publish("servers", 1, Changes((Row(server, 2, b"a1"),), 2))
     publisher.publish("servers", 2, Changes((Row(server, 3, b"a2"),), 3))
-    hand_clock.advance(0.5)
+    manual_clock.advance(0.5)
     publisher.send_heartbeat()
     counts = [(len(m.rows), len(m.touched), len(m.removed)) for m in sent[:-1]]
     assert counts == [(1, 0, 0), (0, 1, 0), (1, 0, 0), (0, 0, 1), (1, 0, 0), (0, 0, 0)]
--- a/tests/fleet/test_choice.py
+++ b/tests/fleet/test_choice.py
@@ -57,49 +57,49 @@
     assert expected_s(other, usual_s) < expected_s(slow, usual_s)
 
 
-def make_host(hand_clock, seed):
-    directory = EndpointDirectory("north", hand_clock, random.Random(seed))
+def make_host(manual_clock, seed):
+    directory = EndpointDirectory("north", manual_clock, random.Random(seed))
     for number in range(ENDPOINTS):
         directory.put(Endpoint(f"e{number}", "s", f"a:{number}", "north", 6))
     return directory
 
 
-def test_hosts_with_few_requests_open_few_connections(hand_clock):
+def test_hosts_with_few_requests_open_few_connections(manual_clock):
     """Each host sends a request of 0.2 s each second, to endpoints of six slots."""
-    hosts = [make_host(hand_clock, seed) for seed in range(HOSTS)]
+    hosts = [make_host(manual_clock, seed) for seed in range(HOSTS)]
     opened, taken = 0, Counter()
     for _ in range(20):
         for host in hosts:
             target = host.choose("s")
             taken[target.endpoint.id] += 1
-            now = hand_clock.monotonic()
+            now = manual_clock.monotonic()
             opened += not target.is_connected(now)
             target.note_answer(0.2)
             target.note_connection(KEPT_S, now)
-        hand_clock.advance(1.0)
+        manual_clock.advance(1.0)
     assert opened == HOSTS
     # The hosts draw their endpoints, so none gets far more than its part.
     assert max(taken.values()) < 2.5 * HOSTS * 20 / ENDPOINTS
 
 
-def test_a_host_with_many_requests_uses_many_endpoints(hand_clock):
-    host = make_host(hand_clock, 1)
+def test_a_host_with_many_requests_uses_many_endpoints(manual_clock):
+    host = make_host(manual_clock, 1)
     for _ in range(40):
         target = host.choose("s")
         target.in_flight += 1
         target.note_answer(0.2)
-        target.note_connection(KEPT_S, hand_clock.monotonic())
+        target.note_connection(KEPT_S, manual_clock.monotonic())
     busiest = max(each.in_flight for each in host.all())
     assert busiest <= 5
 
 
-def test_a_connection_that_was_closed_or_broken_does_not_count(hand_clock):
-    host = make_host(hand_clock, 1)
+def test_a_connection_that_was_closed_or_broken_does_not_count(manual_clock):
+    host = make_host(manual_clock, 1)
     target = host.choose("s")
-    target.note_connection(KEPT_S, hand_clock.monotonic())
-    assert target.is_connected(hand_clock.monotonic())
-    hand_clock.advance(KEPT_S)
-    assert not target.is_connected(hand_clock.monotonic())
-    target.note_connection(KEPT_S, hand_clock.monotonic())
-    target.note_failure(hand_clock.monotonic())
-    assert not target.is_connected(hand_clock.monotonic())
+    target.note_connection(KEPT_S, manual_clock.monotonic())
+    assert target.is_connected(manual_clock.monotonic())
+    manual_clock.advance(KEPT_S)
+    assert not target.is_connected(manual_clock.monotonic())
+    target.note_connection(KEPT_S, manual_clock.monotonic())
+    target.note_failure(manual_clock.monotonic())
+    assert not target.is_connected(manual_clock.monotonic())
--- a/tests/fleet/test_directory.py
+++ b/tests/fleet/test_directory.py
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock, random.Random(1))
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock, random.Random(1))
     for name in ("a", "b", "c"):
         directory.put(endpoint(name))
     return directory
@@ -29,26 +29,26 @@
     assert chosen(directory) == "c"
 
 
-def test_requests_of_other_hosts_count_while_they_are_news(directory, hand_clock):
+def test_requests_of_other_hosts_count_while_they_are_news(directory, manual_clock):
     for name in ("a", "b"):
-        directory.get(name).note_load(ReportedLoad(4, 8, 4), hand_clock.monotonic())
+        directory.get(name).note_load(ReportedLoad(4, 8, 4), manual_clock.monotonic())
     assert chosen(directory) == "c"
-    assert directory.get("a").others_load(hand_clock.monotonic()) == 12
-    hand_clock.advance(2.0)
-    assert directory.get("a").others_load(hand_clock.monotonic()) == 0
+    assert directory.get("a").others_load(manual_clock.monotonic()) == 12
+    manual_clock.advance(2.0)
+    assert directory.get("a").others_load(manual_clock.monotonic()) == 0
 
 
-def test_an_endpoint_that_failed_is_left_out_for_a_while(directory, hand_clock):
+def test_an_endpoint_that_failed_is_left_out_for_a_while(directory, manual_clock):
     for name in ("a", "b"):
-        directory.get(name).note_failure(hand_clock.monotonic())
+        directory.get(name).note_failure(manual_clock.monotonic())
     assert chosen(directory) == "c"
     # Rather one that failed than none at all.
     assert chosen(directory, "c") in ("a", "b")
-    hand_clock.advance(1.0)
-    assert not directory.get("a").is_suspended(hand_clock.monotonic())
+    manual_clock.advance(1.0)
+    assert not directory.get("a").is_suspended(manual_clock.monotonic())
 
 
-def test_failures_in_a_row_leave_it_out_longer_up_to_a_bound(directory, hand_clock):
+def test_failures_in_a_row_leave_it_out_longer_up_to_a_bound(directory, manual_clock):
     spans = [directory.get("a").note_failure(0.0) for _ in range(6)]
     assert spans == sorted(spans)
     assert spans[-1] == spans[-2] == 3.0
@@ -71,24 +71,24 @@
 
 
 def test_an_endpoint_is_removed_at_once_or_when_it_does_not_come_back(
-    directory, hand_clock
+    directory, manual_clock
 ):
     tracked = directory.get("a")
     directory.remove("a", 0.0)
     assert directory.get("a") is None
     assert not tracked.takes_work
-    directory.remove("b", hand_clock.monotonic() + 2.0)
+    directory.remove("b", manual_clock.monotonic() + 2.0)
     directory.remove_overdue()
     assert directory.get("b") is not None
-    hand_clock.advance(2.1)
+    manual_clock.advance(2.1)
     directory.remove_overdue()
     assert directory.get("b") is None
 
 
-def test_an_entry_that_is_back_in_time_stays(directory, hand_clock):
-    directory.remove("a", hand_clock.monotonic() + 2.0)
+def test_an_entry_that_is_back_in_time_stays(directory, manual_clock):
+    directory.remove("a", manual_clock.monotonic() + 2.0)
     directory.put(endpoint("a"))
-    hand_clock.advance(3.0)
+    manual_clock.advance(3.0)
     directory.remove_overdue()
     assert directory.get("a") is not None
 
--- a/tests/fleet/test_runs.py
+++ b/tests/fleet/test_runs.py
@@ -23,22 +23,22 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     directory.put(entry(born=5, version=7))
     return directory
 
 
-def test_a_later_run_in_the_list_is_known_by_nothing_of_before(directory, hand_clock):
+def test_a_later_run_in_the_list_is_known_by_nothing_of_before(directory, manual_clock):
     before = directory.get("e")
-    before.note_failure(hand_clock.monotonic())
+    before.note_failure(manual_clock.monotonic())
     before.note_event_gap(0.1)
-    before.note_load(ReportedLoad(4, 9, 4), hand_clock.monotonic())
-    before.note_loading("m", 8, hand_clock.monotonic())
+    before.note_load(ReportedLoad(4, 9, 4), manual_clock.monotonic())
+    before.note_loading("m", 8, manual_clock.monotonic())
     before.in_flight = 3
     directory.put(entry(born=9))
     later = directory.get("e")
-    now = hand_clock.monotonic()
+    now = manual_clock.monotonic()
     assert later is not before
     assert later.version_of("m") == 1
     assert later.in_flight == 0
@@ -70,12 +70,12 @@
 
 
 def test_an_entry_of_an_earlier_run_does_not_bring_back_a_missing_endpoint(
-    directory, hand_clock
+    directory, manual_clock
 ):
     directory.note_run(EndpointRun("e", 9))
-    directory.remove("e", hand_clock.monotonic() + 2.0)
+    directory.remove("e", manual_clock.monotonic() + 2.0)
     directory.put(entry(born=5))
-    hand_clock.advance(3.0)
+    manual_clock.advance(3.0)
     directory.remove_overdue()
     assert directory.get("e") is None
 
@@ -99,8 +99,8 @@
     assert directory.get("e").takes_work
 
 
-def test_without_births_an_endpoint_is_one_run(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def test_without_births_an_endpoint_is_one_run(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     directory.put(entry(version=3))
     known = directory.get("e")
     directory.put(entry(version=4))
@@ -116,8 +116,8 @@
     assert known.run == EndpointRun("e", 5)
 
 
-def test_births_are_not_compared_with_any_clock(directory, hand_clock):
-    hand_clock.advance(1e9)
+def test_births_are_not_compared_with_any_clock(directory, manual_clock):
+    manual_clock.advance(1e9)
     assert directory.note_run(EndpointRun("e", 6)).run.born == 6
 
 
--- a/tests/logs/test_bounds.py
+++ b/tests/logs/test_bounds.py
@@ -11,8 +11,8 @@
 
 
 @pytest.fixture
-def limit(hand_clock):
-    return LineLimit(hand_clock)
+def limit(manual_clock):
+    return LineLimit(manual_clock)
 
 
 @pytest.fixture
@@ -43,9 +43,9 @@
     assert WARNING_LINES_PER_S > INFO_LINES_PER_S
 
 
-def test_the_next_line_tells_how_many_were_left_out(limit, hand_clock):
+def test_the_next_line_tells_how_many_were_left_out(limit, manual_clock):
     passed(limit, "info", INFO_LINES_PER_S + 7)
-    hand_clock.advance(1.0)
+    manual_clock.advance(1.0)
     [line] = passed(limit, "info", 1)
     assert line["lines_left_out_before"] == 7
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 _numbers = itertools.count()
 
 
-def own_address() -> str:
+def unique_address() -> str:
     """Return an address that is unique to this process and to this call."""
     port, host = divmod(next(_numbers), OCTET_VALUES)
     upper, lower = divmod(os.getpid(), OCTET_VALUES)
--- a/tests/hand_clock.py
+++ b/tests/manual_clock.py
@@ -3,7 +3,7 @@
 START_WALL_S = 1_700_000_000.0
 
 
-class HandClock:
+class ManualClock:
     """A `bankrudder.world.Clock` that a test advances, in seconds."""
 
     def __init__(self, wall=START_WALL_S, monotonic=0.0):
--- a/tests/node/test_reach.py
+++ b/tests/node/test_reach.py
@@ -10,12 +10,12 @@
 from outside.store import GateMode
 
 
-def test_a_single_failure_does_not_count(hand_clock):
-    now = hand_clock.monotonic()
-    assert not is_cut_off(None, hand_clock)
-    assert not is_cut_off(now, hand_clock)
-    hand_clock.advance(UNREADY_AFTER.total_seconds())
-    assert is_cut_off(now, hand_clock)
+def test_a_single_failure_does_not_count(manual_clock):
+    now = manual_clock.monotonic()
+    assert not is_cut_off(None, manual_clock)
+    assert not is_cut_off(now, manual_clock)
+    manual_clock.advance(UNREADY_AFTER.total_seconds())
+    assert is_cut_off(now, manual_clock)
 
 
 async def is_unready(host):
--- a/tests/observe/test_logs.py
+++ b/tests/observe/test_logs.py
@@ -13,10 +13,10 @@
 
 
 @pytest.fixture
-def log_lines(hand_clock):
+def log_lines(manual_clock):
     """Configure JSON logs and return a function that reads the lines so far."""
     stream = io.StringIO()
-    configure_logging(LogFormat.JSON, LogLevel.INFO, clock=hand_clock, stream=stream)
+    configure_logging(LogFormat.JSON, LogLevel.INFO, clock=manual_clock, stream=stream)
     yield lambda: [json.loads(line) for line in stream.getvalue().splitlines()]
     structlog.reset_defaults()
     logging.basicConfig(force=True)
--- a/tests/observe/test_traces.py
+++ b/tests/observe/test_traces.py
@@ -24,8 +24,8 @@
 
 
 @pytest.fixture
-def tracer(hand_clock):
-    return Tracer.from_config(HostId("h1"), clock=hand_clock)
+def tracer(manual_clock):
+    return Tracer.from_config(HostId("h1"), clock=manual_clock)
 
 
 def records_of(tracer, trace_id):
@@ -33,11 +33,11 @@
     return [msgspec.json.decode(span, type=SpanRecord) for span in spans]
 
 
-def test_a_hop_names_the_hop_before_it(tracer, hand_clock):
+def test_a_hop_names_the_hop_before_it(tracer, manual_clock):
     with tracer.span("calls.entry") as entry:
-        hand_clock.advance(0.25)
+        manual_clock.advance(0.25)
         with tracer.span("calls.home", parent=entry.traceparent, pool="desk") as home:
-            hand_clock.advance(0.5)
+            manual_clock.advance(0.5)
     inner, outer = records_of(tracer, entry.trace_id)
     assert home.trace_id == entry.trace_id
     assert (inner.name, outer.name) == ("calls.home", "calls.entry")
--- a/tests/orders/test_announcing.py
+++ b/tests/orders/test_announcing.py
@@ -9,46 +9,48 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     models = (ModelState("m", 1),)
     directory.put(Endpoint("e1", "s", "a:1", "north", 8, models=models))
     return directory
 
 
 @pytest.fixture
-def announcer(directory, hand_clock):
-    return LoadAnnouncer(None, directory, hand_clock)
+def announcer(directory, manual_clock):
+    return LoadAnnouncer(None, directory, manual_clock)
 
 
 def row(document, engine="e1"):
     return Row(RowKey(LOADED_TABLE, "", engine), 1, msgspec.json.encode(document))
 
 
-def test_a_load_that_begins_and_one_that_has_ended(announcer, directory, hand_clock):
+def test_a_load_that_begins_and_one_that_has_ended(announcer, directory, manual_clock):
     engine = directory.get("e1")
     announcer.take(row({"model": "m", "version": 2, "is_loading": True}))
-    assert engine.is_loading("m", hand_clock.monotonic())
+    assert engine.is_loading("m", manual_clock.monotonic())
     assert engine.version_of("m") == 1
     announcer.take(row({"model": "m", "version": 2}))
-    assert not engine.is_loading("m", hand_clock.monotonic())
+    assert not engine.is_loading("m", manual_clock.monotonic())
     assert engine.version_of("m") == 2
 
 
 def test_the_begin_of_a_load_that_has_ended_comes_late(
-    announcer, directory, hand_clock
+    announcer, directory, manual_clock
 ):
     announcer.take(row({"model": "m", "version": 2}))
     announcer.take(row({"model": "m", "version": 2, "is_loading": True}))
-    assert not directory.get("e1").is_loading("m", hand_clock.monotonic())
+    assert not directory.get("e1").is_loading("m", manual_clock.monotonic())
 
 
 @pytest.mark.parametrize("told", ["soon", {}, {"model": "m", "version": "two"}])
-def test_what_is_not_understood_changes_nothing(announcer, directory, hand_clock, told):
+def test_what_is_not_understood_changes_nothing(
+    announcer, directory, manual_clock, told
+):
     announcer.take(row(told))
     engine = directory.get("e1")
     assert engine.version_of("m") == 1
-    assert not engine.is_loading("m", hand_clock.monotonic())
+    assert not engine.is_loading("m", manual_clock.monotonic())
 
 
 def test_rows_of_engines_that_are_not_listed_are_passed_over(announcer):
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -174,8 +174,8 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     directory.put(Engine().entry())
     return directory
 
@@ -185,8 +185,8 @@
     return Row(RowKey(LOADED_TABLE, "", "e"), 1, msgspec.json.encode(document))
 
 
-def test_owners_pass_over_what_was_told_of_an_earlier_run(directory, hand_clock):
-    announcer = LoadAnnouncer(None, directory, hand_clock)
+def test_owners_pass_over_what_was_told_of_an_earlier_run(directory, manual_clock):
+    announcer = LoadAnnouncer(None, directory, manual_clock)
     announcer.take(loaded(born=4))
     announcer.take(loaded())
     assert directory.get("e").version_of("m") == 1
@@ -194,12 +194,12 @@
     assert directory.get("e").version_of("m") == 3
 
 
-def test_owners_learn_of_a_later_run_from_what_is_told(directory, hand_clock):
-    announcer = LoadAnnouncer(None, directory, hand_clock)
+def test_owners_learn_of_a_later_run_from_what_is_told(directory, manual_clock):
+    announcer = LoadAnnouncer(None, directory, manual_clock)
     announcer.take(loaded(born=9, is_loading=True))
     engine = directory.get("e")
     assert engine.run.born == 9
-    assert engine.is_loading("m", hand_clock.monotonic())
+    assert engine.is_loading("m", manual_clock.monotonic())
     announcer.take(loaded(born=9))
     assert engine.version_of("m") == 3
 
--- a/tests/outside/site.py
+++ b/tests/outside/site.py
@@ -11,7 +11,7 @@
 
 import aiohttp
 
-from loopback import own_address
+from loopback import unique_address
 from outside.endpoints import EngineStandIn, ServiceStandIn
 from outside.store import StoreGate, StoreRows
 from outside.trainer_calls import ending, reading, submission
@@ -46,12 +46,12 @@
         self._data_centre = data_centre
         self._folder = folder
         self._process: Any = None
-        self.address = own_address()
+        self.address = unique_address()
 
-        self._readiness = own_address()
-        self.metrics_address = own_address()
-        self.rpc_address = own_address()
-        self._feed_address = own_address()
+        self._readiness = unique_address()
+        self.metrics_address = unique_address()
+        self.rpc_address = unique_address()
+        self._feed_address = unique_address()
 
     @property
     def log_path(self):
--- a/tests/platform/test_duty_api.py
+++ b/tests/platform/test_duty_api.py
@@ -6,7 +6,7 @@
 
 from bankrudder.duties import DutyOutcome, DutyTicket, EndpointOrder, UsageReport
 from bankrudder.platform._duty_api import HttpDutyApi
-from loopback import own_address
+from loopback import unique_address
 from outside.duties import DutyStandIn
 
 REPORT = UsageReport(353445120, {"north": 412})
@@ -69,7 +69,7 @@
 
 
 async def test_nobody_listening_means_that_nothing_was_done():
-    api = HttpDutyApi(own_address())
+    api = HttpDutyApi(unique_address())
     assert await api.call(REPORT, TICKET) is DutyOutcome.REFUSED
     await api.close()
 
--- a/tests/presence/test_cleaning.py
+++ b/tests/presence/test_cleaning.py
@@ -10,8 +10,8 @@
 
 
 @pytest.fixture
-async def presence(store, hand_clock):
-    presence = Presence(store, "me", "life", hand_clock)
+async def presence(store, manual_clock):
+    presence = Presence(store, "me", "life", manual_clock)
     task = asyncio.ensure_future(presence.run())
     await until(lambda: presence.host_count() == 1)
     yield presence
@@ -24,15 +24,15 @@
 
 
 async def test_a_row_that_stood_still_for_long_is_removed(
-    store, rows, presence, hand_clock
+    store, rows, presence, manual_clock
 ):
     cleaner = HostCleaner(store, presence)
     for host in ("gone", "back"):
         beat(rows, host)
     await until(lambda: presence.host_count() == 3)
-    hand_clock.advance(GONE_S - 1)
+    manual_clock.advance(GONE_S - 1)
     await cleaner.clean()
-    hand_clock.advance(2)
+    manual_clock.advance(2)
     silent = presence.silent_hosts(GONE_S)
     beat(rows, "back", 2)  # before the removal, and not read yet
     presence.silent_hosts = lambda seconds: silent
--- a/tests/presence/test_seen.py
+++ b/tests/presence/test_seen.py
@@ -9,8 +9,8 @@
 
 
 @pytest.fixture
-def seen(hand_clock):
-    return SeenHosts(hand_clock)
+def seen(manual_clock):
+    return SeenHosts(manual_clock)
 
 
 def beat(seen, host, lifetime="one", count=1, version=1, **more):
@@ -18,9 +18,9 @@
     seen.take(Row(RowKey("hosts", "", host), version, value))
 
 
-def test_the_newest_heartbeat_counts(seen, hand_clock):
+def test_the_newest_heartbeat_counts(seen, manual_clock):
     beat(seen, "a", count=1)
-    hand_clock.advance(2.0)
+    manual_clock.advance(2.0)
     beat(seen, "a", count=2, version=7)
     assert seen["a"].beat.count == 2
     assert (seen["a"].at, seen["a"].version) == (2.0, 7)
@@ -42,19 +42,21 @@
 @pytest.mark.parametrize(
     ("silent_s", "is_heard"), [(0.5, True), (3.0, False), (14.0, False), (20.0, True)]
 )
-def test_a_host_that_may_come_back_is_waited_for(seen, hand_clock, silent_s, is_heard):
+def test_a_host_that_may_come_back_is_waited_for(
+    seen, manual_clock, silent_s, is_heard
+):
     beat(seen, "a")
     beat(seen, "b")
-    hand_clock.advance(silent_s)
+    manual_clock.advance(silent_s)
     beat(seen, "c")
     assert seen.is_everyone_heard("a", 2.0, 15.0) is is_heard
-    hand_clock.advance(100.0)
+    manual_clock.advance(100.0)
     assert seen.is_everyone_heard("a", 2.0, 15.0)
 
 
-def test_the_host_that_asks_does_not_wait_for_itself(seen, hand_clock):
+def test_the_host_that_asks_does_not_wait_for_itself(seen, manual_clock):
     beat(seen, "a")
-    hand_clock.advance(5.0)
+    manual_clock.advance(5.0)
     assert seen.is_everyone_heard("a", 2.0, 15.0)
 
 
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -41,15 +41,15 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     directory.put(Endpoint("e", "s", "127.0.0.1:1", "north", slots=4))
     return directory
 
 
-async def test_its_place_at_the_endpoint_is_free_again(directory, hand_clock):
+async def test_its_place_at_the_endpoint_is_free_again(directory, manual_clock):
     endpoints, guard = SilentEndpoints(), Unconcerned()
-    streams = StreamForwarder(directory, endpoints, guard, hand_clock)
+    streams = StreamForwarder(directory, endpoints, guard, manual_clock)
     route = Route(
         "r", "h", "/", RouteKind.STREAM, (WeightedService("s", 1.0),), 5.0, 0.4
     )
--- a/tests/store/test_following.py
+++ b/tests/store/test_following.py
@@ -69,24 +69,24 @@
     rows.put("op", "version/m", {"version": 1})
     await until(lambda: len(copy) == 2)
     gate.mode = GateMode.BUSY
-    await until(lambda: follower.lost_since is not None)
+    await until(lambda: follower.failing_since is not None)
     rows.remove("op", "version/m")
     rows.put("op", "config", {"version": 2})
     rows.forget_history()
     gate.mode = GateMode.OPEN
     await until(lambda: copy == {"config": b'{"version": 2}'})
-    assert follower.lost_since is None
-    assert follower.regained_at is not None
+    assert follower.failing_since is None
+    assert follower.recovered_at is not None
 
 
 async def test_a_failed_read_resets_the_time_without_failures(rows, gate, follower):
     rows.put("op", "config", {"version": 1})
-    assert follower.current_for_s() == 0.0
-    await until(lambda: follower.current_for_s() > 0.3)
+    assert follower.failure_free_s() == 0.0
+    await until(lambda: follower.failure_free_s() > 0.3)
     gate.mode = GateMode.BUSY
-    await until(lambda: follower.lost_since is not None)
+    await until(lambda: follower.failing_since is not None)
     failed_at = time.monotonic()
-    assert follower.current_for_s() == 0.0
+    assert follower.failure_free_s() == 0.0
     gate.mode = GateMode.OPEN
-    await until(lambda: follower.current_for_s() > 0.0)
-    assert follower.current_for_s() <= time.monotonic() - failed_at
+    await until(lambda: follower.failure_free_s() > 0.0)
+    assert follower.failure_free_s() <= time.monotonic() - failed_at
--- a/tests/store/test_platform_store.py
+++ b/tests/store/test_platform_store.py
@@ -14,7 +14,7 @@
     Put,
     RemovedRow,
     RowKey,
-    StoreTrouble,
+    StoreErrorKind,
     StoreUnavailableError,
     Transaction,
 )
@@ -35,14 +35,14 @@
 
 async def test_a_refused_or_unsent_commit_is_not_committed(store, gate):
     gate.mode = GateMode.BUSY
-    assert await store.commit(PUT) == NotCommitted(StoreTrouble.BUSY)
+    assert await store.commit(PUT) == NotCommitted(StoreErrorKind.BUSY)
     await gate.stop()
-    assert await store.commit(PUT) == NotCommitted(StoreTrouble.UNREACHABLE)
+    assert await store.commit(PUT) == NotCommitted(StoreErrorKind.UNREACHABLE)
 
 
 async def test_a_commit_with_a_lost_reply_has_an_unknown_outcome(store, gate):
     gate.lose_replies = 1
-    assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
+    assert await store.commit(PUT) == CommitUnknown(StoreErrorKind.NO_REPLY)
 
 
 async def test_a_commit_to_a_silent_store_times_out_with_an_unknown_outcome(
@@ -50,7 +50,7 @@
 ):
     monkeypatch.setattr(_store, "CALL_TIMEOUT_S", 0.1)
     gate.mode = GateMode.SILENT
-    assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
+    assert await store.commit(PUT) == CommitUnknown(StoreErrorKind.NO_REPLY)
 
 
 async def test_reads_are_ordered_by_key_and_limited(store):
@@ -91,7 +91,7 @@
 )
 async def test_an_unreadable_reply_counts_as_no_reply(store, gate, reply):
     gate.garbled = reply
-    assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
+    assert await store.commit(PUT) == CommitUnknown(StoreErrorKind.NO_REPLY)
     with pytest.raises(StoreUnavailableError):
         await store.read("my", "p")
     with pytest.raises(StoreUnavailableError):
--- a/tests/store/test_recovering.py
+++ b/tests/store/test_recovering.py
@@ -13,7 +13,7 @@
     Put,
     RecoveringStore,
     RowKey,
-    StoreTrouble,
+    StoreErrorKind,
     StoreUnavailableError,
     Transaction,
 )
@@ -111,7 +111,7 @@
 
     async def read(self, table, part, start="", end="", limit=500):
         if self.is_away:
-            raise StoreUnavailableError(StoreTrouble.BUSY)
+            raise StoreUnavailableError(StoreErrorKind.BUSY)
         return Page((), 1, False)
 
 
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -81,8 +81,8 @@
 
 
 @pytest.fixture
-def supply(hand_clock):
-    return Supply(hand_clock)
+def supply(manual_clock):
+    return Supply(manual_clock)
 
 
 async def test_without_work_what_is_there_stays(supply):
@@ -95,8 +95,8 @@
     assert await supply.look() == {}
 
 
-async def test_a_service_that_operators_do_not_scale_is_left_alone(hand_clock):
-    supply = Supply(hand_clock, scaling=None)
+async def test_a_service_that_operators_do_not_scale_is_left_alone(manual_clock):
+    supply = Supply(manual_clock, scaling=None)
     supply.owners.samples = {"m0": 80}
     assert await supply.look() == {}
 
--- a/tests/usage/test_counting.py
+++ b/tests/usage/test_counting.py
@@ -11,42 +11,42 @@
 
 
 @pytest.fixture
-def book(hand_clock):
-    time = TrueTime(StoreClock(hand_clock), list, hand_clock)
+def book(manual_clock):
+    time = TrueTime(StoreClock(manual_clock), list, manual_clock)
     return UsageBook(TERMS, time)
 
 
 @pytest.fixture
-def window(hand_clock):
-    return TERMS.window_at(hand_clock.wall())
+def window(manual_clock):
+    return TERMS.window_at(manual_clock.wall())
 
 
-def test_a_request_counts_in_the_window_in_which_it_began(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
-    hand_clock.advance(7.0)
-    book.note_begun("north", hand_clock.monotonic() - 6.9)
-    book.note_begun("south", hand_clock.monotonic())
+def test_a_request_counts_in_the_window_in_which_it_began(book, window, manual_clock):
+    book.note_begun("north", manual_clock.monotonic())
+    manual_clock.advance(7.0)
+    book.note_begun("north", manual_clock.monotonic() - 6.9)
+    book.note_begun("south", manual_clock.monotonic())
     assert book.changed == [window, window + 1]
     assert book.take(window) == {"north": 2}
     assert book.take(window + 1) == {"south": 1}
 
 
-def test_requests_of_no_workspace_are_not_counted(book, hand_clock):
-    book.note_begun(NO_WORKSPACE, hand_clock.monotonic())
+def test_requests_of_no_workspace_are_not_counted(book, manual_clock):
+    book.note_begun(NO_WORKSPACE, manual_clock.monotonic())
     assert book.changed == []
 
 
-def test_counts_that_were_not_kept_are_taken_again(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
+def test_counts_that_were_not_kept_are_taken_again(book, window, manual_clock):
+    book.note_begun("north", manual_clock.monotonic())
     book.take(window)
     assert book.changed == []
     book.put_back(window)
-    book.note_begun("north", hand_clock.monotonic())
+    book.note_begun("north", manual_clock.monotonic())
     assert book.take(window) == {"north": 2}
 
 
-def test_counts_that_were_not_kept_yet_are_not_forgotten(book, window, hand_clock):
-    book.note_begun("north", hand_clock.monotonic())
+def test_counts_that_were_not_kept_yet_are_not_forgotten(book, window, manual_clock):
+    book.note_begun("north", manual_clock.monotonic())
     book.forget_before(window + 100)
     assert book.take(window) == {"north": 1}
     book.forget_before(window + 100)
--- a/tests/usage/test_keeping.py
+++ b/tests/usage/test_keeping.py
@@ -14,7 +14,7 @@
     UsageTerms,
 )
 from bankrudder.world import SystemClock
-from hand_clock import HandClock
+from manual_clock import ManualClock
 from outside.store import GateMode
 
 WINDOW = 340_000_000
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def clock():
-    return HandClock()
+    return ManualClock()
 
 
 @pytest.fixture
--- a/tests/usage/test_reporting.py
+++ b/tests/usage/test_reporting.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bankrudder.duties import Duty, DutyOutcome
-from bankrudder.store import ABSENT, StoreTrouble, StoreUnavailableError
+from bankrudder.store import ABSENT, StoreErrorKind, StoreUnavailableError
 from bankrudder.usage import (
     StoreClock,
     TrueTime,
@@ -16,7 +16,7 @@
     UsageRows,
     UsageTerms,
 )
-from hand_clock import HandClock
+from manual_clock import ManualClock
 from outside.store import GateMode
 
 TERMS = UsageTerms(timedelta(seconds=5), timedelta(seconds=10))
@@ -58,7 +58,7 @@
     """Hosts that may hold the duty, on one store and one platform."""
 
     def __init__(self, store):
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.rows = UsageRows(store, self.clock)
         self.platform = Platform()
         self.is_everyone_heard = True
@@ -262,7 +262,7 @@
 
 
 async def store_is_busy(*_, **__):
-    raise StoreUnavailableError(StoreTrouble.BUSY)
+    raise StoreUnavailableError(StoreErrorKind.BUSY)
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.DONE, DutyOutcome.REJECTED])
