--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -35,7 +35,7 @@
     RowKey,
     RowVersion,
     Store,
-    StoreTrouble,
+    StoreErrorKind,
     StoreUnavailableError,
     Transaction,
     commit_settled,
@@ -144,8 +144,8 @@
                 return AcceptOutcome(ABSENT, stored_head.digest == digest)
             case Conflict():
                 raise NotSettledError
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
 
     async def head(self, batch_id: BatchId) -> BatchHead | None:
         """Return the head of a batch, None if there is no such batch."""
@@ -210,8 +210,8 @@
         match outcome:
             case Committed(version=version):
                 return version
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case _:
                 return None
 
@@ -250,8 +250,8 @@
         match outcome:
             case Committed():
                 return True
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
             case _:
                 return False
 
@@ -289,8 +289,8 @@
             match outcome:
                 case Committed():
                     return True
-                case NotCommitted(trouble=trouble):
-                    raise StoreUnavailableError(trouble)
+                case NotCommitted(error_kind=error_kind):
+                    raise StoreUnavailableError(error_kind)
                 case Conflict():
                     continue  # the owner changed, or the reply to a try was lost
 
@@ -309,7 +309,7 @@
             case Committed() | Conflict():
                 return  # the name contains the digest: a present object is the same
             case _:
-                raise StoreUnavailableError(outcome.trouble)
+                raise StoreUnavailableError(outcome.error_kind)
 
     def _result_puts(
         self, batch_id: BatchId, position: int, result: SampleResult
@@ -361,7 +361,7 @@
 def store_failure_reason(error: StoreUnavailableError | NotSettledError) -> str:
     """Return why a call to the store failed, for a log line."""
     match error:
-        case StoreUnavailableError(trouble=trouble):
-            return trouble.value
+        case StoreUnavailableError(error_kind=error_kind):
+            return error_kind.value
         case _:
-            return StoreTrouble.NO_REPLY.value
+            return StoreErrorKind.NO_REPLY.value
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -318,7 +318,7 @@
             await asyncio.sleep(TAKEOVER_CHECK_INTERVAL_S)
             self._update_load_following()
             self._presence.set_busy(bool(self._tasks))
-            if self._is_leaving or self._follower.lost_since is not None:
+            if self._is_leaving or self._follower.failing_since is not None:
                 continue
             for batch_id, owner, version in self._owners.takeover_candidates():
                 await self._take_over(batch_id, owner, version)
--- a/src/bankrudder/leases/_lease.py
+++ b/src/bankrudder/leases/_lease.py
@@ -209,9 +209,9 @@
                 _log.info("leases: taken", lease=self._name, fence=acquired)
             case Conflict():
                 self._last_change = None
-            case NotCommitted(trouble=trouble):
+            case NotCommitted(error_kind=error_kind):
                 self._last_change = None
-                raise StoreUnavailableError(trouble)
+                raise StoreUnavailableError(error_kind)
 
     async def _renew(self) -> None:
         started_at = self._clock.monotonic()
@@ -224,8 +224,8 @@
                 self._extend(started_at)
             case Conflict():
                 self._lose("taken by another host")
-            case NotCommitted(trouble=trouble):
-                raise StoreUnavailableError(trouble)
+            case NotCommitted(error_kind=error_kind):
+                raise StoreUnavailableError(error_kind)
 
     def _row(self, count: int, fence: RowVersion) -> LeaseRow:
         return LeaseRow(self._host, self._lifetime, count, fence, self._address)
--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -228,14 +228,14 @@
 
         The list is empty while this host cannot read the rows.
         """
-        if self._follower.lost_since is not None:
+        if self._follower.failing_since is not None:
             return []
         since = self._clock.monotonic() - seconds
-        regained_at = self._follower.regained_at or 0.0
+        recovered_at = self._follower.recovered_at or 0.0
         return [
             (host, seen.version)
             for host, seen in self._seen.others(self._host)
-            if max(seen.seen_at, regained_at) < since
+            if max(seen.seen_at, recovered_at) < since
         ]
 
     def host_count(self) -> int:
@@ -368,8 +368,8 @@
             # The store does not accept heartbeats, so none can arrive from any host.
             return True
         read_at = self._follower.last_read_at or 0.0
-        regained_at = self._follower.regained_at or 0.0
+        recovered_at = self._follower.recovered_at or 0.0
         seen = self._seen[host]
-        since = max(seen.seen_at, regained_at, self._sender.recovered_at)
+        since = max(seen.seen_at, recovered_at, self._sender.recovered_at)
         silence_s = MAX_MISSED_HEARTBEATS * seen.heartbeat.interval_s
         return read_at - since < silence_s
--- a/src/bankrudder/usage/_storage.py
+++ b/src/bankrudder/usage/_storage.py
@@ -212,7 +212,7 @@
             COMMIT_TIMEOUT_S,
         )
         if isinstance(outcome, NotCommitted):
-            raise StoreUnavailableError(outcome.trouble)
+            raise StoreUnavailableError(outcome.error_kind)
         return outcome
 
 
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -8,36 +8,36 @@
 
 
 @pytest.fixture
-def owners(store, hand_clock):
-    return OwnerRegistry(Presence(store, "h", "life", hand_clock), hand_clock)
+def owners(store, manual_clock):
+    return OwnerRegistry(Presence(store, "h", "life", manual_clock), manual_clock)
 
 
 def owner(model="m"):
     return Owner(host="other", lifetime="other-life", model=model)
 
 
-async def test_the_open_time_is_known_once_a_batch_ended(owners, hand_clock):
+async def test_the_open_time_is_known_once_a_batch_ended(owners, manual_clock):
     owners.put("b1", owner(), 1)
-    hand_clock.advance(4.0)
+    manual_clock.advance(4.0)
     assert owners.open_seconds() == {}
     owners.remove("b1")
     assert owners.open_seconds() == {"m": 4.0}
 
 
-async def test_the_newest_batch_has_a_fixed_weight_in_the_mean(owners, hand_clock):
+async def test_the_newest_batch_has_a_fixed_weight_in_the_mean(owners, manual_clock):
     for name, seconds in (("b1", 4.0), ("b2", 8.0)):
         owners.put(name, owner(), 1)
-        hand_clock.advance(seconds)
+        manual_clock.advance(seconds)
         owners.remove(name)
     mean = 4.0 + NEWEST_BATCH_WEIGHT * 4.0
     assert owners.open_seconds() == {"m": pytest.approx(mean)}
 
 
-async def test_a_change_of_owner_does_not_restart_the_open_time(owners, hand_clock):
+async def test_a_change_of_owner_does_not_restart_the_open_time(owners, manual_clock):
     owners.put("b1", owner(), 1)
-    hand_clock.advance(3.0)
+    manual_clock.advance(3.0)
     owners.put("b1", owner(), 2)
-    hand_clock.advance(3.0)
+    manual_clock.advance(3.0)
     owners.remove("b1")
     owners.remove("b1")
     assert owners.open_seconds() == {"m": 6.0}
@@ -65,9 +65,9 @@
         return 1.0
 
 
-async def test_an_owner_newer_than_the_hosts_read_is_not_replaced(hand_clock):
+async def test_an_owner_newer_than_the_hosts_read_is_not_replaced(manual_clock):
     hosts = FakePresence(read_version=5)
-    owners = OwnerRegistry(hosts, hand_clock)
+    owners = OwnerRegistry(hosts, manual_clock)
     owners.put("b1", owner(), 6)
     assert list(owners.takeover_candidates()) == []
     hosts.read_version = 6
@@ -75,8 +75,8 @@
 
 
 async def test_an_owner_missing_from_the_hosts_read_is_replaced_at_once(
-    hand_clock,
+    manual_clock,
 ):
-    owners = OwnerRegistry(FakePresence(read_version=9), hand_clock)
+    owners = OwnerRegistry(FakePresence(read_version=9), manual_clock)
     owners.put("b1", owner(), 6)
     assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -108,11 +108,11 @@
     assert node.keys[0] == node.keys[1]
 
 
-async def test_an_answer_that_is_always_incomplete_raises(node, hand_clock):
+async def test_an_answer_that_is_always_incomplete_raises(node, manual_clock):
     """Only the attempts advance the clock, so the time to connect has no influence."""
     node.script = [COMPLETE_ANSWER[:2]] * 3
-    node.on_call = lambda: hand_clock.advance(12.0)
-    caller = Caller.from_config((node.address,), "token", clock=hand_clock)
+    node.on_call = lambda: manual_clock.advance(12.0)
+    caller = Caller.from_config((node.address,), "token", clock=manual_clock)
     async with caller:
         with pytest.raises(OutcomeUnknownError):
             await caller.call("desk", b"x", timeout_s=30.0)
--- a/tests/duties/test_duty.py
+++ b/tests/duties/test_duty.py
@@ -43,17 +43,19 @@
     return Duty("duty", api, lease, "a", calls_per_s, clock)
 
 
-async def test_a_call_carries_the_holder_and_the_fencing_token(hand_clock):
+async def test_a_call_carries_the_holder_and_the_fencing_token(manual_clock):
     api = Api()
-    assert await make_duty(api, Lease(), hand_clock).call(CALL) is DutyOutcome.DONE
+    assert await make_duty(api, Lease(), manual_clock).call(CALL) is DutyOutcome.DONE
     [grant] = api.grants
     assert (grant.holder, grant.fence) == ("a", 7)
 
 
 @pytest.mark.parametrize("left_s", [0.0, MIN_LEASE_LEFT_S / 2])
-async def test_nothing_is_sent_when_too_little_of_the_lease_is_left(hand_clock, left_s):
+async def test_nothing_is_sent_when_too_little_of_the_lease_is_left(
+    manual_clock, left_s
+):
     api = Api()
-    outcome = await make_duty(api, Lease(left_s), hand_clock).call(CALL)
+    outcome = await make_duty(api, Lease(left_s), manual_clock).call(CALL)
     assert outcome is DutyOutcome.NOT_ON_DUTY
     assert api.grants == []
 
@@ -62,16 +64,16 @@
     ("left_s", "timeout_s"),
     [(2.0, MAX_CALL_TIMEOUT_S), (0.3, 0.3), (10.0, MAX_CALL_TIMEOUT_S)],
 )
-async def test_no_call_outlasts_the_lease(hand_clock, left_s, timeout_s):
+async def test_no_call_outlasts_the_lease(manual_clock, left_s, timeout_s):
     api = Api()
-    await make_duty(api, Lease(left_s), hand_clock).call(CALL)
+    await make_duty(api, Lease(left_s), manual_clock).call(CALL)
     assert api.grants[0].timeout_s == timeout_s
 
 
-async def test_the_lease_can_be_checked_again_right_before_sending(hand_clock):
+async def test_the_lease_can_be_checked_again_right_before_sending(manual_clock):
     api = Api()
     lease = Lease()
-    await make_duty(api, lease, hand_clock).call(CALL)
+    await make_duty(api, lease, manual_clock).call(CALL)
     [grant] = api.grants
     assert grant.is_held()
     lease.fence = 9  # the lease was lost and acquired again
@@ -80,19 +82,19 @@
     assert not grant.is_held()
 
 
-async def test_calls_do_not_overlap(hand_clock):
+async def test_calls_do_not_overlap(manual_clock):
     api = Api(duration_s=0.01)
-    held_duty = make_duty(api, Lease(), hand_clock)
+    held_duty = make_duty(api, Lease(), manual_clock)
     await asyncio.gather(*(held_duty.call(CALL) for _ in range(5)))
     assert len(api.grants) == 5
     assert api.max_concurrent_calls == 1
 
 
-async def test_the_lease_is_checked_after_waiting_for_an_earlier_call(hand_clock):
+async def test_the_lease_is_checked_after_waiting_for_an_earlier_call(manual_clock):
     """The lease may be lost between the request for a call and the call itself."""
     api = Api(duration_s=0.02)
     lease = Lease()
-    held_duty = make_duty(api, lease, hand_clock)
+    held_duty = make_duty(api, lease, manual_clock)
     first = asyncio.ensure_future(held_duty.call(CALL))
     await asyncio.sleep(0.005)
     second = asyncio.ensure_future(held_duty.call(CALL))
@@ -101,8 +103,8 @@
     assert await second is DutyOutcome.NOT_ON_DUTY
 
 
-async def test_calls_are_limited_to_half_of_the_configured_rate(hand_clock):
-    held_duty = make_duty(Api(), Lease(), hand_clock, calls_per_s=50)
+async def test_calls_are_limited_to_half_of_the_configured_rate(manual_clock):
+    held_duty = make_duty(Api(), Lease(), manual_clock, calls_per_s=50)
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     for _ in range(4):
--- a/tests/orders/test_restarts.py
+++ b/tests/orders/test_restarts.py
@@ -181,8 +181,8 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     directory.put(EngineStub().entry())
     return directory
 
@@ -192,8 +192,8 @@
     return Row(RowKey(LOADED_TABLE, "", "e"), 1, msgspec.json.encode(document))
 
 
-def test_rows_of_an_earlier_run_are_ignored(directory, hand_clock):
-    announcer = LoadAnnouncer(None, directory, hand_clock)
+def test_rows_of_an_earlier_run_are_ignored(directory, manual_clock):
+    announcer = LoadAnnouncer(None, directory, manual_clock)
     announcer.apply_row(loaded_row(born=4))
     announcer.apply_row(loaded_row())
     assert directory.get("e").version_of("m") == 1
@@ -201,12 +201,12 @@
     assert directory.get("e").version_of("m") == 3
 
 
-def test_a_row_of_a_later_run_reveals_the_restart(directory, hand_clock):
-    announcer = LoadAnnouncer(None, directory, hand_clock)
+def test_a_row_of_a_later_run_reveals_the_restart(directory, manual_clock):
+    announcer = LoadAnnouncer(None, directory, manual_clock)
     announcer.apply_row(loaded_row(born=9, is_loading=True))
     engine = directory.get("e")
     assert engine.run.born == 9
-    assert engine.is_loading("m", hand_clock.monotonic())
+    assert engine.is_loading("m", manual_clock.monotonic())
     announcer.apply_row(loaded_row(born=9))
     assert engine.version_of("m") == 3
 
--- a/tests/presence/test_seen.py
+++ b/tests/presence/test_seen.py
@@ -9,8 +9,8 @@
 
 
 @pytest.fixture
-def seen(hand_clock):
-    return SeenHosts(hand_clock)
+def seen(manual_clock):
+    return SeenHosts(manual_clock)
 
 
 def record_heartbeat(seen, host, lifetime="one", count=1, version=1, **more):
@@ -18,9 +18,9 @@
     seen.apply_row(Row(RowKey("hosts", "", host), version, value))
 
 
-def test_the_newest_heartbeat_replaces_earlier_ones(seen, hand_clock):
+def test_the_newest_heartbeat_replaces_earlier_ones(seen, manual_clock):
     record_heartbeat(seen, "a", count=1)
-    hand_clock.advance(2.0)
+    manual_clock.advance(2.0)
     record_heartbeat(seen, "a", count=2, version=7)
     assert seen["a"].heartbeat.count == 2
     assert (seen["a"].seen_at, seen["a"].version) == (2.0, 7)
@@ -43,20 +43,20 @@
     ("silent_s", "is_heard"), [(0.5, True), (3.0, False), (14.0, False), (20.0, True)]
 )
 def test_a_silent_host_is_expected_to_return_for_a_limited_time(
-    seen, hand_clock, silent_s, is_heard
+    seen, manual_clock, silent_s, is_heard
 ):
     record_heartbeat(seen, "a")
     record_heartbeat(seen, "b")
-    hand_clock.advance(silent_s)
+    manual_clock.advance(silent_s)
     record_heartbeat(seen, "c")
     assert seen.has_heard_all_hosts("a", 2.0, 15.0) is is_heard
-    hand_clock.advance(100.0)
+    manual_clock.advance(100.0)
     assert seen.has_heard_all_hosts("a", 2.0, 15.0)
 
 
-def test_the_asking_host_is_left_out(seen, hand_clock):
+def test_the_asking_host_is_left_out(seen, manual_clock):
     record_heartbeat(seen, "a")
-    hand_clock.advance(5.0)
+    manual_clock.advance(5.0)
     assert seen.has_heard_all_hosts("a", 2.0, 15.0)
 
 
--- a/tests/usage/test_reporting.py
+++ b/tests/usage/test_reporting.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bankrudder.duties import Duty, DutyOutcome
-from bankrudder.store import ABSENT, StoreTrouble, StoreUnavailableError
+from bankrudder.store import ABSENT, StoreErrorKind, StoreUnavailableError
 from bankrudder.usage import (
     FleetTime,
     ReportSchedule,
@@ -17,7 +17,7 @@
     UsageReporter,
     UsageRows,
 )
-from hand_clock import HandClock
+from manual_clock import ManualClock
 from outside.store import GateMode
 
 SCHEDULE = ReportSchedule(timedelta(seconds=5), timedelta(seconds=10))
@@ -59,7 +59,7 @@
     """Hosts that can hold the duty and share one store and one platform."""
 
     def __init__(self, store):
-        self.clock = HandClock()
+        self.clock = ManualClock()
         self.rows = UsageRows(store, self.clock)
         self.platform = Platform()
         self.has_heard_all_hosts = True
@@ -261,7 +261,7 @@
 
 
 async def store_is_busy(*_, **__):
-    raise StoreUnavailableError(StoreTrouble.BUSY)
+    raise StoreUnavailableError(StoreErrorKind.BUSY)
 
 
 @pytest.mark.parametrize("outcome", [DutyOutcome.DONE, DutyOutcome.REJECTED])
