--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from bankrudder.batches._values import Batch, BatchId, Owner
-from bankrudder.presence import Lifetime, Presence, draw
+from bankrudder.presence import Lifetime, Presence, rendezvous_hash
 from bankrudder.routing import ModelName
 from bankrudder.store import RowVersion
 from bankrudder.world import Clock, HostId, ModelVersion
@@ -147,7 +147,9 @@
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
-            if not self._presence.is_in(self._presence.host, owner.data_centres):
+            if not self._presence.is_in_data_centres(
+                self._presence.host, owner.data_centres
+            ):
                 continue
             if now - since >= self._takeover_rank(batch_id, owner) * TAKEOVER_STAGGER_S:
                 yield batch_id, owner, version
@@ -176,7 +178,10 @@
         """Return the position of this host in the takeover order of a batch."""
         hosts = sorted(
             self._presence.live_hosts(owner.data_centres),
-            key=lambda host: (-self._presence.room_of(host), draw(batch_id, host)),
+            key=lambda host: (
+                -self._presence.capacity_of(host),
+                rendezvous_hash(batch_id, host),
+            ),
         )
         if self._presence.host not in hosts:
             return MAX_TAKEOVER_RANK
@@ -190,9 +195,9 @@
         return max(
             hosts,
             key=lambda host: (
-                self._presence.room_of(host),
+                self._presence.capacity_of(host),
                 host not in latest_owners,
-                draw(model, host),
+                rendezvous_hash(model, host),
             ),
             default=None,
         )
--- a/src/bankrudder/leases/_duty.py
+++ b/src/bankrudder/leases/_duty.py
@@ -1,4 +1,4 @@
-"""Work that one host does from time to time."""
+"""Periodic work of the host that holds a duty."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -16,12 +16,12 @@
     pause_s: float,
     work: Callable[[], Awaitable[None]],
 ) -> None:
-    """Do `work` after each pause while this host is on duty, until cancelled.
+    """Run `work` after each pause while this host holds the duty, until cancelled.
 
     Parameters
     ----------
     duty : str
-        What it is, for log lines.
+        Name of the duty in log lines.
     """
     while True:
         await asyncio.sleep(pause_s)
@@ -30,4 +30,6 @@
         try:
             await work()
         except StoreUnavailableError as error:
-            _log.warning("leases: duty put off", duty=duty, reason=error.trouble.value)
+            _log.warning(
+                "leases: duty put off", duty=duty, reason=error.error_kind.value
+            )
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-def directory(hand_clock):
-    directory = EndpointDirectory("north", hand_clock)
+def directory(manual_clock):
+    directory = EndpointDirectory("north", manual_clock)
     for name, version in (("a", 2), ("b", 3)):
         models = (ModelState("m", version),)
         directory.put(Endpoint(name, "s", "127.0.0.1:1", "north", 2, models=models))
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def dispatcher(directory, hand_clock):
-    return Dispatcher(directory, hand_clock)
+def dispatcher(directory, manual_clock):
+    return Dispatcher(directory, manual_clock)
 
 
 def demand(rank=0.0, version=1, group="g", sample="x"):
@@ -76,7 +76,7 @@
 
 
 async def test_requests_of_a_step_share_one_search_of_the_engines(
-    directory, hand_clock, monkeypatch
+    directory, manual_clock, monkeypatch
 ):
     """All samples of a step request slots at once; one search each was too slow."""
     models = (ModelState("m", 2),)
@@ -88,7 +88,7 @@
     monkeypatch.setattr(
         directory, "of_service", lambda *key: searches.append(key) or search(*key)
     )
-    dispatcher = Dispatcher(directory, hand_clock)
+    dispatcher = Dispatcher(directory, manual_clock)
     tasks = [request_slot(dispatcher, group=f"g{number}") for number in range(96)]
     assert None not in await granted_ids(*tasks)
     for task in tasks:
@@ -119,19 +119,19 @@
 
 
 async def test_a_new_engine_is_found_by_the_next_search(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     assert await granted_ids(request_slot(dispatcher, version=4)) == [None]
     models = (ModelState("m", 4),)
     directory.put(Endpoint("c", "s", "127.0.0.1:1", "north", 2, models=models))
-    hand_clock.advance(RECHECK_INTERVAL_S)
+    manual_clock.advance(RECHECK_INTERVAL_S)
     assert await granted_ids(request_slot(dispatcher, version=4)) == ["c"]
 
 
 async def test_an_engine_with_an_idle_connection_is_preferred(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
-    directory.get("b").note_connection(9.0, hand_clock.monotonic())
+    directory.get("b").note_connection(9.0, manual_clock.monotonic())
     first, second = (
         request_slot(dispatcher, group="g1"),
         request_slot(dispatcher, group="g2"),
@@ -140,10 +140,10 @@
 
 
 async def test_an_expired_idle_connection_gives_no_preference(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
-    directory.get("b").note_connection(9.0, hand_clock.monotonic())
-    hand_clock.advance(9.0)
+    directory.get("b").note_connection(9.0, manual_clock.monotonic())
+    manual_clock.advance(9.0)
     assert await granted_ids(request_slot(dispatcher)) == ["a"]
 
 
@@ -166,21 +166,21 @@
     assert not dispatcher.should_move(demand(), slow, 10)
 
 
-async def test_an_engine_that_refused_is_paused(dispatcher, directory, hand_clock):
+async def test_an_engine_that_refused_is_paused(dispatcher, directory, manual_clock):
     for name in ("a", "b"):
         dispatcher.pause(directory.get(name), "m")
     task = request_slot(dispatcher)
     assert await granted_ids(task) == [None]
-    hand_clock.advance(0.2)
+    manual_clock.advance(0.2)
     other = request_slot(dispatcher)
     assert None not in await granted_ids(task, other)
 
 
 async def test_an_engine_that_loads_gets_nothing_until_it_has_loaded(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
     task = request_slot(dispatcher)
     assert await granted_ids(task) == [None]
     directory.get("b").note_version("m", 4)
@@ -189,29 +189,29 @@
 
 
 async def test_an_engine_whose_load_never_completes_is_used_again(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
-    hand_clock.advance(LOADING_TIMEOUT_S)
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
+    manual_clock.advance(LOADING_TIMEOUT_S)
     assert await granted_ids(request_slot(dispatcher)) != [None]
 
 
 async def test_a_late_report_of_a_completed_load_is_ignored(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     for name in ("a", "b"):
         directory.get(name).note_version("m", 4)
-        directory.get(name).note_loading("m", 4, hand_clock.monotonic())
+        directory.get(name).note_loading("m", 4, manual_clock.monotonic())
     assert await granted_ids(request_slot(dispatcher)) != [None]
 
 
 async def test_an_engine_that_failed_gets_one_sample_until_it_responds(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     failed_engine = directory.get("b")
-    failed_engine.note_failure(hand_clock.monotonic())
-    hand_clock.advance(MAX_SUSPENSION_S)
+    failed_engine.note_failure(manual_clock.monotonic())
+    manual_clock.advance(MAX_SUSPENSION_S)
     tasks = [request_slot(dispatcher) for _ in range(4)]
     # The failed engine is chosen last, although it is as free as the other.
     assert await granted_ids(*tasks) == ["a", "a", "b", None]
@@ -221,13 +221,13 @@
 
 
 async def test_no_sample_moves_to_an_engine_that_failed(
-    dispatcher, directory, hand_clock
+    dispatcher, directory, manual_clock
 ):
     directory.get("a").note_event_gap(0.1)
     directory.get("b").note_event_gap(0.03)
     slow, fast = directory.get("a"), directory.get("b")
-    fast.note_failure(hand_clock.monotonic())
-    hand_clock.advance(MAX_SUSPENSION_S)
+    fast.note_failure(manual_clock.monotonic())
+    manual_clock.advance(MAX_SUSPENSION_S)
     assert not dispatcher.should_move(demand(), slow, 100)
     fast.note_alive()
     assert dispatcher.should_move(demand(), slow, 100)
@@ -254,18 +254,18 @@
 
 @pytest.mark.parametrize("gap_s", [0.1, 0.4])
 async def test_a_slot_stays_reserved_for_two_move_checks(
-    dispatcher, directory, hand_clock, gap_s
+    dispatcher, directory, manual_clock, gap_s
 ):
     directory.get("a").note_event_gap(gap_s)
     directory.get("b").note_event_gap(0.03)
     running = [request_slot(dispatcher, group=f"g{number}") for number in range(4)]
     await granted_ids(*running)
     assert not dispatcher.should_move(demand(sample="y"), directory.get("a"), 50)
-    hand_clock.advance(0.9 * RESERVATION_EVENT_COUNT * gap_s)
+    manual_clock.advance(0.9 * RESERVATION_EVENT_COUNT * gap_s)
     dispatcher.release(running[0].result(), "g0")
     waiting = request_slot(dispatcher)
     assert await granted_ids(waiting) == [None]
-    hand_clock.advance(0.2 * RESERVATION_EVENT_COUNT * gap_s)
+    manual_clock.advance(0.2 * RESERVATION_EVENT_COUNT * gap_s)
     assert await granted_ids(request_slot(dispatcher), waiting) == [None, "b"]
 
 
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -64,11 +64,11 @@
 
 
 @pytest.fixture
-async def make_host(store, hand_clock, endpoints):
+async def make_host(store, manual_clock, endpoints):
     hosts = []
 
     def make():
-        hosts.append(Host(store, hand_clock, endpoints))
+        hosts.append(Host(store, manual_clock, endpoints))
         return hosts[-1]
 
     yield make
@@ -174,22 +174,24 @@
 
 
 async def test_strikes_of_endpoints_that_stay_listed_are_withdrawn(
-    make_host, hand_clock, rows
+    make_host, manual_clock, rows
 ):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     assert host.admission() is Admission.REFUSED
     await until(lambda: len(stored_keys(rows)) == 3)
-    hand_clock.advance(LISTED_ALIVE_S)
+    manual_clock.advance(LISTED_ALIVE_S)
     await until(lambda: host.admission() is Admission.FREE)
     await until(lambda: stored_keys(rows) == [])
 
 
-async def test_list_that_became_readable_just_now_is_no_evidence(make_host, hand_clock):
+async def test_list_that_became_readable_just_now_is_no_evidence(
+    make_host, manual_clock
+):
     host = make_host()
     host.list_current_for_s = 1.0
     await host.lose("e1", "e2", "e3")
-    hand_clock.advance(LISTED_ALIVE_S)
+    manual_clock.advance(LISTED_ALIVE_S)
     await asyncio.sleep(0.8)
     assert host.admission() is Admission.REFUSED
     host.list_current_for_s = LISTED_ALIVE_S
@@ -197,13 +199,13 @@
 
 
 async def test_strikes_of_endpoints_removed_from_the_list_are_kept(
-    make_host, hand_clock
+    make_host, manual_clock
 ):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     for name in ("e1", "e2", "e3"):
         host.directory.remove(name, 0.0)
-    hand_clock.advance(LISTED_ALIVE_S)
+    manual_clock.advance(LISTED_ALIVE_S)
     await asyncio.sleep(0.8)
     assert host.admission() is Admission.REFUSED
 
@@ -227,10 +229,10 @@
     assert len(host.guard) == 1
 
 
-async def test_old_strikes_are_removed_from_the_store(make_host, hand_clock, rows):
+async def test_old_strikes_are_removed_from_the_store(make_host, manual_clock, rows):
     host = make_host()
     await host.lose("e1", "e2", "e3")
     await until(lambda: len(stored_keys(rows)) == 3)
-    hand_clock.advance(25 * 3600.0)
+    manual_clock.advance(25 * 3600.0)
     await host.guard.clean()
     await until(lambda: stored_keys(rows) == [])
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_keeping.py
@@ -38,7 +38,7 @@
         self.outcomes = []
         self.orders = []
 
-    async def call(self, call, ticket):
+    async def call(self, call, grant):
         self.orders.append(call)
         return self.outcomes.pop(0) if self.outcomes else DutyOutcome.DONE
 
@@ -81,8 +81,8 @@
 
 
 @pytest.fixture
-def supply(hand_clock):
-    return ScaledService(hand_clock)
+def supply(manual_clock):
+    return ScaledService(manual_clock)
 
 
 async def test_without_samples_nothing_is_ordered(supply):
@@ -95,8 +95,8 @@
     assert await supply.order_engines() == {}
 
 
-async def test_nothing_is_ordered_for_a_service_without_scaling(hand_clock):
-    supply = ScaledService(hand_clock, scaling=None)
+async def test_nothing_is_ordered_for_a_service_without_scaling(manual_clock):
+    supply = ScaledService(manual_clock, scaling=None)
     supply.owners.samples = {"m0": 80}
     assert await supply.order_engines() == {}
 
