--- a/src/bankrudder/observe/__init__.py
+++ b/src/bankrudder/observe/__init__.py
@@ -1,4 +1,4 @@
-"""What operators see of a node: logs, metrics, health, traces."""
+"""Observability of a node: logs, metrics, health checks and traces."""
 
 from bankrudder.logs import LogFormat, LogLevel, configure_logging
 from bankrudder.observe._http import ObserveServer
--- a/src/bankrudder/observe/_export.py
+++ b/src/bankrudder/observe/_export.py
@@ -1,4 +1,8 @@
-"""Export of spans through OpenTelemetry; imported only where spans are exported."""
+"""Export of spans through OpenTelemetry.
+
+This module is imported only on nodes that export spans, since OpenTelemetry takes much
+memory.
+"""
 
 from opentelemetry import trace
 from opentelemetry.exporter.otlp.proto.http.trace_exporter import OTLPSpanExporter
@@ -16,7 +20,7 @@
 
 OTLP_PATH = "/v1/traces"
 OTLP_TIMEOUT_S = 2.0
-"""Longest wait for a collector."""
+"""Longest wait for a response of the collector."""
 
 NS_PER_S = 1_000_000_000
 MS_PER_S = 1000.0
@@ -24,7 +28,7 @@
 
 
 class SpanExport:
-    """Sends the spans of one node to where the settings say.
+    """Exports the spans of one node to the destination in its settings.
 
     Raises
     ------
@@ -34,18 +38,18 @@
 
     def __init__(self, host: HostId, export: FileTraceExport | OtlpTraceExport):
         self._resource = Resource({"service.name": "bankrudder", "host.name": host})
-        self._processor = BatchSpanProcessor(_exporter_of(export))
+        self._processor = BatchSpanProcessor(_make_exporter(export))
 
     def send(self, record: SpanRecord) -> None:
-        """Send a finished span some time later."""
-        self._processor.on_end(_exportable(record, self._resource))
+        """Queue a finished span for export."""
+        self._processor.on_end(_to_readable_span(record, self._resource))
 
     def stop(self) -> None:
-        """Send what waits; a dead collector delays it by seconds."""
+        """Export queued spans; an unreachable collector delays this by seconds."""
         self._processor.shutdown()  # type: ignore[no-untyped-call]
 
 
-def _exporter_of(export: FileTraceExport | OtlpTraceExport) -> SpanExporter:
+def _make_exporter(export: FileTraceExport | OtlpTraceExport) -> SpanExporter:
     match export:
         case FileTraceExport(path):
             return _FileExporter(path)
@@ -55,22 +59,22 @@
 
 
 class _FileExporter(ConsoleSpanExporter):
-    """Appends spans to a file of its own."""
+    """Appends spans to a file, which it closes at shutdown."""
 
     def __init__(self, path: str):
         self._file = open(path, "a", buffering=1)  # noqa: SIM115 - closed at shutdown
-        super().__init__(out=self._file, formatter=_line)
+        super().__init__(out=self._file, formatter=_format_line)
 
     def shutdown(self) -> None:
         self._file.close()
 
 
-def _line(span: ReadableSpan) -> str:
+def _format_line(span: ReadableSpan) -> str:
     return str(span.to_json(indent=None)) + "\n"
 
 
-def _exportable(record: SpanRecord, resource: Resource) -> ReadableSpan:
-    """Return `record` as OpenTelemetry's exporters take it."""
+def _to_readable_span(record: SpanRecord, resource: Resource) -> ReadableSpan:
+    """Convert `record` to the type that OpenTelemetry exporters take."""
     trace_id = int(record.trace_id, 16)
     parent = None
     if record.parent_id:
--- a/src/bankrudder/observe/_http.py
+++ b/src/bankrudder/observe/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP listener that monitoring asks: metrics, health, readiness, spans."""
+"""HTTP server for monitoring: metrics, health, readiness and spans."""
 
 import ssl
 from collections.abc import Callable, Iterable
@@ -10,6 +10,7 @@
 from bankrudder.world import Address
 
 SHUTDOWN_TIMEOUT_S = 1.0
+"""Time that responses in progress get when the server stops."""
 
 
 class ObserveServer:
@@ -18,15 +19,16 @@
     Parameters
     ----------
     address : Address
-        ``ip:port`` to listen on; port 0 takes a free one.
+        ``ip:port`` to listen on; port 0 selects a free port.
     metrics : Metrics
-        What ``/metrics`` renders.
+        Metrics that ``/metrics`` returns.
     is_ready : callable
-        Whether the node takes calls now; ``/readyz`` answers 503 if not.
+        Returns whether the node accepts calls; if not, ``/readyz`` returns 503.
     ssl_context : ssl.SSLContext, optional
-        None serves in clear.
+        Without it, the server uses plain HTTP.
     spans_of : callable, optional
-        Finished spans of a trace, request, batch or sample, as JSON; none by default.
+        Returns the finished spans of a trace, request, batch or sample, as JSON. By
+        default there are none.
     """
 
     def __init__(
@@ -53,19 +55,19 @@
         ssl_context: ssl.SSLContext | None = None,
         spans_of: Callable[[str], Iterable[str]] = lambda _: (),
     ) -> Self:
-        """Make a server that `start` lets listen on `address`."""
+        """Make a server that listens on `address` once it is started."""
         return cls(address, metrics, is_ready, ssl_context, spans_of)
 
     @property
     def address(self) -> Address:
-        """Address that is listened on, with the port that was taken."""
+        """Address of the server, with the port in use once it is started."""
         if self._runner is None or not self._runner.addresses:
             return self._address
         host, port = self._runner.addresses[0][:2]
         return Address(f"{host}:{port}")
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
@@ -93,7 +95,7 @@
         self._runner = runner
 
     async def stop(self) -> None:
-        """Stop listening; answers in progress get `SHUTDOWN_TIMEOUT_S`."""
+        """Stop listening; responses in progress get `SHUTDOWN_TIMEOUT_S` to finish."""
         runner = self._runner
         self._runner = None
         if runner is not None:
--- a/src/bankrudder/observe/_metrics.py
+++ b/src/bankrudder/observe/_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics: counts that the parts keep, gathered when they are scraped."""
+"""Prometheus metrics of a node.
+
+Values that components count anyway are read from them at each scrape; other values are
+stored in collectors of the node's registry.
+"""
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from enum import Enum
@@ -14,7 +18,7 @@
 
 NAME_PREFIX = "bankrudder_"
 LATENCY_BUCKETS_S = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0)
-"""Upper bounds for times in seconds; one more has no bound."""
+"""Upper bounds of histogram buckets; a last bucket without a bound is added."""
 
 _log = structlog.get_logger("observe")
 
@@ -23,24 +27,24 @@
     """What a sample's value means."""
 
     COUNTER = "counter"
-    """A count that only grows while the process lives."""
+    """A count that only grows during the lifetime of the process."""
 
     GAUGE = "gauge"
-    """A level that rises and falls."""
+    """A value that rises and falls."""
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """One value of one metric, as a part reports it.
+    """One value of one metric, as a sample source reports it.
 
     Attributes
     ----------
     name : str
-        Begins with `NAME_PREFIX`; a counter's ends in ``_total``.
+        Begins with `NAME_PREFIX`; the name of a counter ends in ``_total``.
     help : str
-        One line on what is counted, with its unit.
+        One line that says what is measured and in which unit.
     labels : mapping of str to str
-        Names and states only. ``job`` is reserved by the library; a rollout
-        job goes under ``rollout_job``.
+        Names and states only. The label ``job`` is reserved by the library; the
+        label of a rollout job is ``rollout_job``.
     """
 
     name: str
@@ -51,12 +55,12 @@
 
     @classmethod
     def counter(cls, name: str, value: float, help: str = "", **labels: str) -> Self:
-        """Make a sample of a count."""
+        """Make a sample of a counter."""
         return cls(name, MetricKind.COUNTER, value, help, labels)
 
     @classmethod
     def gauge(cls, name: str, value: float, help: str = "", **labels: str) -> Self:
-        """Make a sample of a level."""
+        """Make a sample of a gauge."""
         return cls(name, MetricKind.GAUGE, value, help, labels)
 
 
@@ -64,43 +68,44 @@
 
 
 class Counter:
-    """A count that is kept here; labels are given with each addition."""
+    """A counter stored in the registry; labels are given with each increment."""
 
     def __init__(self, collector: prometheus.Counter):
         self._collector = collector
 
     def add(self, amount: float = 1, **labels: str) -> None:
         """Add `amount`, which must not be negative."""
-        self._collector.add(_escaped(labels), amount)
+        self._collector.add(_escaped_labels(labels), amount)
 
 
 class Gauge:
-    """A level that is kept here; labels are given with each setting."""
+    """A gauge stored in the registry; labels are given with each update."""
 
     def __init__(self, collector: prometheus.Gauge):
         self._collector = collector
 
     def set(self, value: float, **labels: str) -> None:
-        """Replace the level."""
-        self._collector.set(_escaped(labels), value)
+        """Set the gauge to `value`."""
+        self._collector.set(_escaped_labels(labels), value)
 
 
 class Histogram:
-    """A distribution that is kept here."""
+    """A histogram stored in the registry; labels are given with each value."""
 
     def __init__(self, collector: prometheus.Histogram):
         self._collector = collector
 
     def observe(self, value: float, **labels: str) -> None:
         """Count `value` in its bucket."""
-        self._collector.observe(_escaped(labels), value)
+        self._collector.observe(_escaped_labels(labels), value)
 
 
 class Metrics:
     """All metrics of one node.
 
-    Values that parts count anyway are not counted twice: a part adds a source,
-    which is called at each scrape. Distributions are kept here.
+    A component that counts a value anyway adds a sample source, which is called at
+    each scrape, so that nothing is counted twice. Histograms are stored in the
+    registry.
 
     Parameters
     ----------
@@ -109,7 +114,7 @@
     """
 
     def __init__(self, host: HostId):
-        self._const_labels = _escaped({"host": host})
+        self._const_labels = _escaped_labels({"host": host})
         self._registry = prometheus.Registry()
         self._sources: list[SampleSource] = [_process_samples]
         self._bad_samples = self.counter(
@@ -124,13 +129,17 @@
     def counter(self, name: str, help: str) -> Counter:
         """Make a counter; its name must be new and begin with `NAME_PREFIX`."""
         return Counter(
-            prometheus.Counter(_checked(name), help, self._const_labels, self._registry)
+            prometheus.Counter(
+                _checked_name(name), help, self._const_labels, self._registry
+            )
         )
 
     def gauge(self, name: str, help: str) -> Gauge:
         """Make a gauge; its name must be new and begin with `NAME_PREFIX`."""
         return Gauge(
-            prometheus.Gauge(_checked(name), help, self._const_labels, self._registry)
+            prometheus.Gauge(
+                _checked_name(name), help, self._const_labels, self._registry
+            )
         )
 
     def histogram(
@@ -139,7 +148,7 @@
         """Make a histogram whose buckets have the upper bounds `buckets`."""
         return Histogram(
             prometheus.Histogram(
-                _checked(name),
+                _checked_name(name),
                 help,
                 self._const_labels,
                 self._registry,
@@ -148,27 +157,31 @@
         )
 
     def add_source(self, source: SampleSource) -> None:
-        """Call `source` at each scrape; one that raises is left out and counted."""
+        """Call `source` at each scrape.
+
+        A source that raises is omitted from the scrape and counted in
+        ``bankrudder_bad_samples_total``.
+        """
         self._sources.append(source)
 
     def render(self) -> tuple[bytes, str]:
-        """Gather all values.
+        """Collect and render all values.
 
         Returns
         -------
         body : bytes
-            The metrics in Prometheus' text format.
+            The metrics in the Prometheus text format.
         content_type : str
             The media type of `body`.
         """
-        gathered = prometheus.Registry()
+        scrape_registry = prometheus.Registry()
         collectors: dict[str, prometheus.Counter | prometheus.Gauge] = {}
         for source in self._sources:
             for sample in self._samples_of(source):
-                self._place(sample, gathered, collectors)
-        kept, headers = render(self._registry, [])
-        scraped, _ = render(gathered, [])
-        return kept + scraped, headers["Content-Type"]
+                self._add_sample(sample, scrape_registry, collectors)
+        registered_text, headers = render(self._registry, [])
+        scraped_text, _ = render(scrape_registry, [])
+        return registered_text + scraped_text, headers["Content-Type"]
 
     def _samples_of(self, source: SampleSource) -> list[Sample]:
         try:
@@ -178,7 +191,7 @@
             self._bad_samples.add()
             return []
 
-    def _place(
+    def _add_sample(
         self,
         sample: Sample,
         registry: prometheus.Registry,
@@ -191,8 +204,10 @@
                 collector = self._collector(sample, kind, registry)
                 collectors[sample.name] = collector
             if not isinstance(collector, kind):
-                raise ValueError(f"{sample.name} has two kinds")
-            collector.set(_escaped(sample.labels), sample.value)
+                raise ValueError(
+                    f"metric {sample.name!r} is reported both as counter and as gauge"
+                )
+            collector.set(_escaped_labels(sample.labels), sample.value)
         except ValueError:
             _log.exception("observe: bad sample left out", name=sample.name)
             self._bad_samples.add()
@@ -203,9 +218,9 @@
         kind: type[prometheus.Counter] | type[prometheus.Gauge],
         registry: prometheus.Registry,
     ) -> prometheus.Counter | prometheus.Gauge:
-        name = _checked(sample.name)
+        name = _checked_name(sample.name)
         if name in self._registry.collectors:
-            raise ValueError(f"{name} is kept by the registry")
+            raise ValueError(f"metric {name!r} is already in the node's registry")
         help = sample.help or name
         return kind(name, help, self._const_labels, registry)
 
@@ -218,14 +233,14 @@
 }
 
 
-def _checked(name: str) -> str:
+def _checked_name(name: str) -> str:
     if not name.startswith(NAME_PREFIX):
         raise ValueError(f"metric {name!r} does not begin with {NAME_PREFIX!r}")
     return name
 
 
-def _escaped(labels: Mapping[str, str]) -> dict[str, str]:
-    # The library writes label values as they are.
+def _escaped_labels(labels: Mapping[str, str]) -> dict[str, str]:
+    # The library renders label values without escaping them.
     return {
         name: value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
         for name, value in labels.items()
--- a/src/bankrudder/observe/_process.py
+++ b/src/bankrudder/observe/_process.py
@@ -1,4 +1,4 @@
-"""What this process uses of its host: memory, processor time, open files."""
+"""Resource usage of this process: memory, processor time and open files."""
 
 import os
 import resource
@@ -6,22 +6,22 @@
 import msgspec
 
 STATM_PATH = "/proc/self/statm"
-FILES_PATH = "/proc/self/fd"
-RESIDENT_FIELD = 1
-"""Position of the resident pages in `STATM_PATH`."""
+OPEN_FILES_PATH = "/proc/self/fd"
+RESIDENT_FIELD_INDEX = 1
+"""Index of the number of resident pages among the fields of `STATM_PATH`."""
 
 
 class ProcessUsage(msgspec.Struct, frozen=True):
-    """Use of the host by this process.
+    """Resource usage of this process.
 
     Attributes
     ----------
     memory_bytes : int
         Resident memory.
     processor_s : float
-        Processor time since the process began, user and system, in seconds.
+        User and system processor time since the process started.
     open_files : int
-        Open file descriptors, sockets among them.
+        Open file descriptors, including sockets.
     """
 
     memory_bytes: int
@@ -30,17 +30,17 @@
 
 
 def process_usage() -> ProcessUsage:
-    """Return what this process uses now."""
+    """Return the current resource usage of this process."""
     usage = resource.getrusage(resource.RUSAGE_SELF)
     return ProcessUsage(
         memory_bytes=memory_bytes(),
         processor_s=usage.ru_utime + usage.ru_stime,
-        open_files=len(os.listdir(FILES_PATH)),
+        open_files=len(os.listdir(OPEN_FILES_PATH)),
     )
 
 
 def memory_bytes() -> int:
     """Return the resident memory of this process in bytes."""
     with open(STATM_PATH) as file:
-        pages = int(file.read().split()[RESIDENT_FIELD])
+        pages = int(file.read().split()[RESIDENT_FIELD_INDEX])
     return pages * resource.getpagesize()
--- a/src/bankrudder/observe/_spans.py
+++ b/src/bankrudder/observe/_spans.py
@@ -1,4 +1,4 @@
-"""Spans: one hop in progress, and what is kept of it."""
+"""Spans: one hop of a request in progress, and its record once it has finished."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,9 +11,12 @@
 from bankrudder.world import Clock, HostId
 
 MAX_ATTRIBUTE_LENGTH = 128
+"""Length in characters to which string attributes are cut."""
+
 MS_PER_S = 1000.0
 TRACEPARENT_VERSION = "00"
 TRACEPARENT_LENGTHS = (2, 32, 16, 2)
+"""Hexadecimal digits of version, trace, parent span and flags."""
 
 AttributeValue = str | int | float | bool
 
@@ -28,9 +31,10 @@
     start_s : float
         Wall time of the start, in seconds since the Unix epoch.
     duration_ms : float
-        Measured on the monotonic clock, in milliseconds.
+        Measured on the monotonic clock.
     failed : bool
-        Whether an exception other than a cancellation ended it.
+        Whether an exception ended the span. Cancellation and the closing of a
+        generator are no failures.
     """
 
     trace_id: str
@@ -45,14 +49,14 @@
 
 
 class ParentSpan(msgspec.Struct, frozen=True):
-    """Identifiers that a ``traceparent`` carries."""
+    """Trace and span identifiers of a ``traceparent`` header."""
 
     trace_id: str
     span_id: str
 
     @classmethod
     def from_traceparent(cls, traceparent: str) -> Self | None:
-        """Return what `traceparent` names, None if it is empty or malformed."""
+        """Parse `traceparent`; return None if it is empty or malformed."""
         fields = traceparent.split("-")
         if tuple(map(len, fields)) != TRACEPARENT_LENGTHS:
             return None
@@ -66,7 +70,7 @@
 
 
 class Span:
-    """A hop in progress; entering it starts it, leaving it finishes it.
+    """A hop in progress, used as a context manager that starts and finishes it.
 
     Parameters
     ----------
@@ -85,8 +89,8 @@
         "_on_end",
         "_parent_id",
         "_span_id",
+        "_start_monotonic_s",
         "_start_s",
-        "_started",
         "_trace_id",
     )
 
@@ -110,20 +114,20 @@
         self._attributes: dict[str, AttributeValue] = {}
         self._failed = False
         self._start_s = 0.0
-        self._started = 0.0
+        self._start_monotonic_s = 0.0
 
     @property
     def traceparent(self) -> str:
-        """W3C ``traceparent`` to hand to the next hop."""
+        """W3C ``traceparent`` header value for the next hop."""
         return f"{TRACEPARENT_VERSION}-{self._trace_id}-{self._span_id}-01"
 
     @property
     def trace_id(self) -> str:
-        """Hexadecimal identifier of the whole trace."""
+        """Hexadecimal identifier of the trace."""
         return self._trace_id
 
     def set(self, **attributes: AttributeValue) -> None:
-        """Add names, ids or numbers; anything else is left out."""
+        """Set attributes; values that are neither strings nor numbers are ignored."""
         for name, value in attributes.items():
             if isinstance(value, str):
                 self._attributes[name] = value[:MAX_ATTRIBUTE_LENGTH]
@@ -131,7 +135,10 @@
                 self._attributes[name] = value
 
     def fail(self, error: BaseException) -> None:
-        """Mark the hop as failed, by the error's type and never its message."""
+        """Mark the span as failed and record the kind of the error.
+
+        The message is never recorded, since it may hold what callers sent.
+        """
         self._failed = True
         if isinstance(error, BankrudderError):
             failure = error.failure
@@ -140,7 +147,7 @@
             self.set(error=type(error).__qualname__)
 
     def __enter__(self) -> Self:
-        self._started = self._clock.monotonic()
+        self._start_monotonic_s = self._clock.monotonic()
         self._start_s = self._clock.wall()
         return self
 
@@ -154,7 +161,7 @@
             self.set(cancelled=True)
         elif error is not None:
             self.fail(error)
-        elapsed = self._clock.monotonic() - self._started
+        elapsed_s = self._clock.monotonic() - self._start_monotonic_s
         self._on_end(
             SpanRecord(
                 self._trace_id,
@@ -162,7 +169,7 @@
                 self._name,
                 self._host,
                 self._start_s,
-                elapsed * MS_PER_S,
+                elapsed_s * MS_PER_S,
                 self._parent_id,
                 self._failed,
                 self._attributes,
--- a/src/bankrudder/observe/_trace_settings.py
+++ b/src/bankrudder/observe/_trace_settings.py
@@ -1,4 +1,4 @@
-"""Settings of traces: where finished spans go."""
+"""Settings of traces: the destination of finished spans."""
 
 import msgspec
 
--- a/src/bankrudder/observe/_traces.py
+++ b/src/bankrudder/observe/_traces.py
@@ -1,8 +1,8 @@
 """Traces: a span for each hop of a request, linked by ``traceparent``.
 
-Spans name their parents themselves and are never attached to a context: a generator
-that is left early runs its last lines in another context than its own. A span is a
-light record; it becomes OpenTelemetry's only when it is exported.
+A span takes its parent as an argument and is never attached to a context variable: a
+generator that is closed early runs its cleanup in another context than its body. Spans
+are small records, which are converted to OpenTelemetry spans only for export.
 """
 
 import asyncio
@@ -24,24 +24,24 @@
     from bankrudder.observe._export import SpanExport
 
 RECENT_SPANS = 2048
-"""Finished spans that a node keeps in memory, about a megabyte."""
+"""Finished spans that a node keeps in memory; they take about 1 MB."""
 
 ID_ATTRIBUTES = ("request", "batch", "sample")
-"""Attributes by which spans are found, besides the trace's identifier."""
+"""Attributes by which a trace can be looked up, besides its own identifier."""
 
 TRACE_ID_BITS = 128
 SPAN_ID_BITS = 64
 
 
 class Tracer:
-    """Makes the spans of one node and keeps the last of them.
+    """Creates the spans of one node and keeps the most recent ones.
 
     Parameters
     ----------
     host : HostId
         Name of this node on its spans.
     export : TraceExport
-        Where finished spans go besides memory.
+        Destination of finished spans besides memory.
     clock : Clock, optional
         Source of start times and durations, the host's clock by default.
 
@@ -56,7 +56,7 @@
         self._clock = clock or SystemClock()
         self._rng = random.Random()
         self._recent: deque[SpanRecord] = deque(maxlen=RECENT_SPANS)
-        self._export = _export_of(host, export)
+        self._export = _make_span_export(host, export)
 
     @classmethod
     def from_config(
@@ -65,50 +65,50 @@
         export: TraceExport | None = None,
         clock: Clock | None = None,
     ) -> Self:
-        """Make a tracer; without `export`, spans stay in memory."""
+        """Make a tracer; without `export`, spans are only kept in memory."""
         return cls(host, export or NoTraceExport(), clock)
 
     def span(self, name: str, parent: str = "", **attributes: AttributeValue) -> Span:
-        """Return a span to enter with ``with``; it lasts until the block ends.
+        """Return a span, which lasts for the ``with`` block that enters it.
 
         Parameters
         ----------
         name : str
-            Part and hop, such as ``calls.entry``.
+            Component and hop, such as ``calls.entry``.
         parent : str
-            ``traceparent`` of the hop before; one that is empty or malformed
-            begins a new trace.
+            ``traceparent`` of the previous hop; an empty or malformed one starts a
+            new trace.
         **attributes
-            Names, ids and numbers; never what a caller sent.
+            Names, identifiers and numbers; never content that a caller sent.
         """
-        origin = ParentSpan.from_traceparent(parent)
+        parent_span = ParentSpan.from_traceparent(parent)
         span = Span(
             name,
             self._host,
-            origin.trace_id if origin else self._new_trace_id(),
+            parent_span.trace_id if parent_span else self._new_trace_id(),
             f"{self._rng.getrandbits(SPAN_ID_BITS):016x}",
-            origin.span_id if origin else "",
+            parent_span.span_id if parent_span else "",
             self._clock,
             self._finish,
         )
         span.set(**attributes)
         return span
 
-    def spans_of(self, wanted: str) -> tuple[str, ...]:
-        """Return the spans of a trace that this node still holds, as JSON.
+    def spans_of(self, identifier: str) -> tuple[str, ...]:
+        """Return the spans of a trace that this node still keeps, as JSON.
 
-        Each is a `SpanRecord`; they come in the order in which they finished.
+        Each is an encoded `SpanRecord`, in the order in which the spans finished.
 
         Parameters
         ----------
-        wanted : str
+        identifier : str
             Identifier of a trace, or of a request, batch or sample in it.
         """
-        traces = {r.trace_id for r in self._recent if _is_about(r, wanted)}
+        traces = {r.trace_id for r in self._recent if _matches(r, identifier)}
         return tuple(encode_record(r) for r in self._recent if r.trace_id in traces)
 
     async def stop(self) -> None:
-        """Send what waits to be exported; a dead collector delays it by seconds."""
+        """Export queued spans; an unreachable collector delays this by seconds."""
         if self._export is not None:
             await asyncio.to_thread(self._export.stop)
 
@@ -121,16 +121,16 @@
             self._export.send(record)
 
 
-def _is_about(record: SpanRecord, wanted: str) -> bool:
-    if record.trace_id == wanted.lower():
+def _matches(record: SpanRecord, identifier: str) -> bool:
+    if record.trace_id == identifier.lower():
         return True
-    return any(record.attributes.get(name) == wanted for name in ID_ATTRIBUTES)
+    return any(record.attributes.get(name) == identifier for name in ID_ATTRIBUTES)
 
 
-def _export_of(host: HostId, export: TraceExport) -> "SpanExport | None":
+def _make_span_export(host: HostId, export: TraceExport) -> "SpanExport | None":
     if isinstance(export, NoTraceExport):
         return None
-    # Imported late: OpenTelemetry costs some ten megabytes.
+    # Imported only where it is needed: OpenTelemetry takes about 10 MB of memory.
     from bankrudder.observe._export import SpanExport
 
     return SpanExport(host, export)
--- a/tests/observe/test_http.py
+++ b/tests/observe/test_http.py
@@ -1,4 +1,4 @@
-"""The listener for monitoring."""
+"""The HTTP server for monitoring."""
 
 import aiohttp
 import pytest
@@ -10,15 +10,15 @@
 
 
 @pytest.fixture
-def readiness():
-    """Answers of the node, the last of which counts."""
+def ready_states():
+    """States that the node has reported; the last one is current."""
     return [True]
 
 
 @pytest.fixture
-async def server(readiness):
+async def server(ready_states):
     metrics = Metrics.from_config(HostId("h1"))
-    server = ObserveServer.from_config(ANY_PORT, metrics, lambda: readiness[-1])
+    server = ObserveServer.from_config(ANY_PORT, metrics, lambda: ready_states[-1])
     await server.start()
     yield server
     await server.stop()
@@ -38,14 +38,16 @@
     assert "bankrudder_memory_bytes" in text
 
 
-async def test_a_node_that_is_not_ready_is_still_healthy(server, readiness):
+async def test_a_node_that_is_not_ready_is_still_healthy(server, ready_states):
     assert (await get(server, "/readyz"))[0] == 200
-    readiness.append(False)
+    ready_states.append(False)
     assert (await get(server, "/readyz"))[0] == 503
     assert (await get(server, "/healthz"))[0] == 200
 
 
-async def test_a_taken_address_is_an_error_and_stop_twice_is_not(server, readiness):
+async def test_an_address_in_use_is_an_error_and_a_second_stop_is_not(
+    server, ready_states
+):
     metrics = Metrics.from_config(HostId("h2"))
     second = ObserveServer.from_config(server.address, metrics, lambda: True)
     with pytest.raises(OSError):
--- a/tests/observe/test_logs.py
+++ b/tests/observe/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: what a line carries and what it never carries."""
+"""Logs: the fields of a line, and the content that must never reach one."""
 
 import io
 import json
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def log_lines(hand_clock):
-    """Configure JSON logs and return a function that reads the lines so far."""
+    """Configure JSON logs; return a function that returns the lines so far."""
     stream = io.StringIO()
     configure_logging(LogFormat.JSON, LogLevel.INFO, clock=hand_clock, stream=stream)
     yield lambda: [json.loads(line) for line in stream.getvalue().splitlines()]
@@ -22,7 +22,7 @@
     logging.basicConfig(force=True)
 
 
-def test_a_line_has_its_sentence_its_fields_and_its_level(log_lines):
+def test_a_line_has_its_event_fields_and_level(log_lines):
     structlog.get_logger("pools").warning("pools: endpoint ejected", endpoint="e1")
     (line,) = log_lines()
     assert line["event"] == "pools: endpoint ejected"
@@ -58,7 +58,7 @@
     assert "test_logs.py" in line["frames"][0]
 
 
-def test_lines_of_libraries_come_in_the_same_form(log_lines):
+def test_library_lines_have_the_same_format(log_lines):
     try:
         raise ValueError(SECRET)
     except ValueError:
--- a/tests/observe/test_process.py
+++ b/tests/observe/test_process.py
@@ -1,9 +1,9 @@
-"""The process's own use of its host."""
+"""Resource usage of the process."""
 
 from bankrudder.observe import memory_bytes, process_usage
 
 
-def test_usage_is_read_and_processor_time_does_not_fall():
+def test_usage_is_plausible_and_processor_time_does_not_decrease():
     before = process_usage()
     after = process_usage()
     assert 1_000_000 < before.memory_bytes < 16_000_000_000
--- a/tests/observe/test_traces.py
+++ b/tests/observe/test_traces.py
@@ -1,4 +1,4 @@
-"""Traces: parents, what spans carry, and where they go."""
+"""Traces: parents, content and export of spans."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
     return [msgspec.json.decode(span, type=SpanRecord) for span in spans]
 
 
-def test_a_hop_names_the_hop_before_it(tracer, hand_clock):
+def test_a_span_has_the_previous_hop_as_its_parent(tracer, hand_clock):
     with tracer.span("calls.entry") as entry:
         hand_clock.advance(0.25)
         with tracer.span("calls.home", parent=entry.traceparent, pool="desk") as home:
@@ -57,14 +57,14 @@
         f"00-{'0' * 32}-{'1' * 16}-01",
     ],
 )
-def test_a_parent_that_is_empty_or_malformed_begins_a_trace(tracer, parent):
+def test_an_empty_or_malformed_parent_starts_a_new_trace(tracer, parent):
     with tracer.span("calls.entry", parent=parent) as span:
         pass
     (record,) = records_of(tracer, span.trace_id)
     assert record.parent_id == ""
 
 
-def test_a_failure_is_named_without_its_message(tracer):
+def test_a_failure_is_recorded_without_its_message(tracer):
     with (
         pytest.raises(NotRunError),
         tracer.span("pools.grant") as span,
@@ -79,7 +79,7 @@
     assert second.attributes == {"error": "ValueError"}
 
 
-def test_a_cancellation_is_no_failure(tracer):
+def test_a_cancelled_span_is_not_failed(tracer):
     with pytest.raises(asyncio.CancelledError), tracer.span("steps.attempt") as span:
         raise asyncio.CancelledError
     (record,) = records_of(tracer, span.trace_id)
@@ -87,7 +87,7 @@
     assert record.attributes == {"cancelled": True}
 
 
-def test_attributes_carry_no_bytes_and_no_long_strings(tracer):
+def test_bytes_are_ignored_and_long_strings_cut_in_attributes(tracer):
     with tracer.span("x", found=b"passport 123", name_of="n" * 1000) as span:
         pass
     (record,) = records_of(tracer, span.trace_id)
@@ -95,7 +95,7 @@
     assert len(record.attributes["name_of"]) == 128
 
 
-async def test_a_span_may_be_left_in_another_context(tracer):
+async def test_a_span_may_end_in_another_context(tracer):
     async def stream():
         with tracer.span("calls.stream") as span:
             yield span
@@ -107,7 +107,7 @@
     assert len(tracer.spans_of(span.trace_id)) == 1
 
 
-def test_only_the_last_spans_are_kept(tracer):
+def test_only_the_most_recent_spans_are_kept(tracer):
     with tracer.span("first") as first:
         pass
     for _ in range(RECENT_SPANS):
@@ -128,7 +128,7 @@
     assert written["attributes"] == {"pool": "desk"}
 
 
-async def test_spans_are_sent_to_a_collector():
+async def test_spans_are_exported_to_a_collector():
     bodies = []
 
     async def collect(request):
@@ -152,6 +152,6 @@
     assert sent.trace_id.hex() == span.trace_id
 
 
-def test_the_export_setting_is_read_from_json():
+def test_the_export_setting_is_decoded_from_json():
     read = msgspec.json.decode(b'{"to":"file","path":"s"}', type=TraceExport)
     assert read == FileTraceExport("s")
