--- a/src/bankrudder/logs/__init__.py
+++ b/src/bankrudder/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Logs: one structured line for each decision."""
+"""Structured logs: one line for each decision of the daemon."""
 
 from bankrudder.logs._limit import LineLimit
 from bankrudder.logs._setup import LogFormat, LogLevel, configure_logging
--- a/src/bankrudder/logs/_limit.py
+++ b/src/bankrudder/logs/_limit.py
@@ -1,4 +1,4 @@
-"""A bound on the number of log lines, and a count of all of them."""
+"""Rate limit for log lines, which also counts all lines by event."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -9,52 +9,58 @@
 from bankrudder.world import Clock
 
 INFO_LINES_PER_S = 40
+"""Largest number of lines of one event per second at levels below WARNING."""
+
 WARNING_LINES_PER_S = 120
-"""Lines of one event that are written a second. Warnings are about requests that
-were refused, failed or taken over, and are kept longest."""
+"""The same for levels from WARNING on. This limit is higher because these lines are
+about requests that were refused, failed or taken over."""
 
 WINDOW_S = 1.0
 
-_SEVERE = frozenset({"warning", "error", "critical"})
+_WARNING_LEVELS = frozenset({"warning", "error", "critical"})
 
 
 class LineLimit:
-    """Lets some lines of each event pass in a second, and counts all.
+    """A structlog processor that limits the lines of each event per second.
 
-    Used as a processor of structlog, before lines are rendered.
+    It comes before the renderer in the chain of processors. All lines are counted,
+    including suppressed ones. The first line that passes after suppressed lines of the
+    same event carries their number in the field ``lines_left_out_before``.
     """
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._window = 0.0
-        self._passed: Counter[str] = Counter()
-        self._left_out: Counter[str] = Counter()
+        self._window_start_s = 0.0
+        self._window_counts: Counter[str] = Counter()
+        self._suppressed_counts: Counter[str] = Counter()
         self._totals: Counter[tuple[str, str]] = Counter()
 
     @property
     def totals(self) -> Mapping[tuple[str, str], int]:
-        """Lines since the start by event and level, left-out ones included."""
+        """Lines since the start by event and level, including suppressed lines."""
         return self._totals
 
     def __call__(self, _: WrappedLogger, level: str, event: EventDict) -> EventDict:
-        """Pass a line on, or raise `structlog.DropEvent`."""
+        """Return the line, or raise `structlog.DropEvent` if it is over the limit."""
         name = str(event.get("event", ""))
         self._totals[name, level] += 1
         now = self._clock.monotonic()
-        if now - self._window >= WINDOW_S:
-            self._window = now
-            self._passed.clear()
-        self._passed[name] += 1
-        most = WARNING_LINES_PER_S if level in _SEVERE else INFO_LINES_PER_S
-        if self._passed[name] > most:
-            self._left_out[name] += 1
+        if now - self._window_start_s >= WINDOW_S:
+            self._window_start_s = now
+            self._window_counts.clear()
+        self._window_counts[name] += 1
+        max_line_count = (
+            WARNING_LINES_PER_S if level in _WARNING_LEVELS else INFO_LINES_PER_S
+        )
+        if self._window_counts[name] > max_line_count:
+            self._suppressed_counts[name] += 1
             raise structlog.DropEvent
-        left_out = self._left_out.pop(name, 0)
-        if left_out:
-            event["lines_left_out_before"] = left_out
+        suppressed_count = self._suppressed_counts.pop(name, 0)
+        if suppressed_count:
+            event["lines_left_out_before"] = suppressed_count
         return event
 
-    def overdue(self) -> Iterator[tuple[str, int]]:
-        """Yield, once, the events of which lines were left out, and how many."""
-        while self._left_out:
-            yield self._left_out.popitem()
+    def pop_suppressed_counts(self) -> Iterator[tuple[str, int]]:
+        """Yield and reset the number of suppressed lines of each event."""
+        while self._suppressed_counts:
+            yield self._suppressed_counts.popitem()
--- a/src/bankrudder/logs/_setup.py
+++ b/src/bankrudder/logs/_setup.py
@@ -1,4 +1,4 @@
-"""Logs: structlog set up so that no payload can reach a line."""
+"""Configuration of structlog and logging that keeps payloads out of log lines."""
 
 import logging
 import sys
@@ -16,28 +16,28 @@
 from bankrudder.world import Clock, SystemClock
 
 MAX_VALUE_LENGTH = 400
-"""Longest string that a log line carries, in characters."""
+"""Length in characters to which string values are cut."""
 
 MAX_FRAMES = 12
-"""Innermost frames of a traceback that a log line carries."""
+"""Number of innermost frames of a traceback that are logged."""
 
 WITHHELD_FIELDS = frozenset(
     {"authorization", "body", "data", "payload", "prompt", "text", "token"}
 )
-"""Fields whose values are never written, whatever they are."""
+"""Fields whose values are never written, whatever their type."""
 
 WITHHELD = "<withheld>"
 
 
 class LogFormat(Enum):
-    """How a log line is written."""
+    """Format of log lines."""
 
     JSON = "json"
     TEXT = "text"
 
 
 class LogLevel(Enum):
-    """The least severe lines that are written."""
+    """Lowest level of the lines that are written."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -54,62 +54,69 @@
     limit: LineLimit | None = None,
     host: str = "",
 ) -> None:
-    """Send the lines of this package and of its libraries to one stream.
+    """Write the log lines of this package and of its libraries to one stream.
 
-    Byte strings, `WITHHELD_FIELDS` and the messages of exceptions are left out:
-    they may hold what callers sent.
+    Byte strings, the values of `WITHHELD_FIELDS` and the messages of exceptions are
+    left out, since they may hold what callers sent.
 
     Parameters
     ----------
     format : LogFormat
-        JSON, one object a line, or text for a person.
+        JSON with one object per line, or text that people read.
     level : LogLevel
-        Lines below it are dropped; libraries log from WARNING on.
+        Lines below it are dropped; lines of libraries also if they are below
+        WARNING.
     clock : Clock, optional
-        Source of the time stamps, the host's clock by default.
-    stream : text file, optional
-        Standard error by default.
+        Source of the timestamps, the host's clock by default.
+    stream : text file or NonBlockingSink, optional
+        Destination of the lines, standard error by default.
     limit : LineLimit, optional
-        Bound on the lines of this package; none by default.
+        Rate limit for the lines of this package; none by default.
     host : str
         Name of the host, written with each line if it is not empty.
     """
     stream = stream or sys.stderr
-    number = logging.getLevelNamesMapping()[level.name]
-    shared: list[Processor] = [
+    level_number = logging.getLevelNamesMapping()[level.name]
+    shared_processors: list[Processor] = [
         structlog.processors.add_log_level,
-        _time_stamper(clock or SystemClock()),
-        _host_namer(host),
-        _withhold,
+        _timestamp_adder(clock or SystemClock()),
+        _host_adder(host),
+        _withhold_content,
         _format_exception,
     ]
     renderer = _renderer(format)
     structlog.configure(
-        processors=[*([limit] if limit is not None else []), *shared, renderer],
-        wrapper_class=structlog.make_filtering_bound_logger(number),
+        processors=[
+            *([limit] if limit is not None else []),
+            *shared_processors,
+            renderer,
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(level_number),
         logger_factory=structlog.WriteLoggerFactory(file=cast(TextIO, stream)),
         cache_logger_on_first_use=False,
     )
-    _configure_libraries(shared, renderer, max(number, logging.WARNING), stream)
+    _configure_libraries(
+        shared_processors, renderer, max(level_number, logging.WARNING), stream
+    )
 
 
 def _configure_libraries(
-    shared: list[Processor],
+    shared_processors: list[Processor],
     renderer: Processor,
-    number: int,
+    level_number: int,
     stream: TextIO | NonBlockingSink,
 ) -> None:
     handler = logging.StreamHandler(cast(TextIO, stream))
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared,
+            foreign_pre_chain=shared_processors,
             processors=[
                 structlog.stdlib.ProcessorFormatter.remove_processors_meta,
                 renderer,
             ],
         )
     )
-    logging.basicConfig(handlers=[handler], level=number, force=True)
+    logging.basicConfig(handlers=[handler], level=level_number, force=True)
 
 
 def _renderer(format: LogFormat) -> Processor:
@@ -120,7 +127,7 @@
             return structlog.dev.ConsoleRenderer(colors=False)
 
 
-def _time_stamper(clock: Clock) -> Processor:
+def _timestamp_adder(clock: Clock) -> Processor:
     def stamp(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
         now = datetime.fromtimestamp(clock.wall(), UTC)
         event["timestamp"] = now.isoformat(timespec="milliseconds")
@@ -129,7 +136,7 @@
     return stamp
 
 
-def _host_namer(host: str) -> Processor:
+def _host_adder(host: str) -> Processor:
     def name(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
         if host:
             event["logged_by"] = host
@@ -138,7 +145,7 @@
     return name
 
 
-def _withhold(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
+def _withhold_content(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
     for name, value in event.items():
         if name in WITHHELD_FIELDS or isinstance(value, (bytes, bytearray, memoryview)):
             event[name] = WITHHELD
@@ -148,11 +155,12 @@
 
 
 def _format_exception(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
-    # The exception's message and the source lines are left out on purpose.
+    # The message of the exception and the source lines are left out on purpose: a
+    # message may hold what callers sent.
     error = _exception_of(event.pop("exc_info", None))
     if error is not None:
         event["exception"] = type(error).__qualname__
-        event["frames"] = _frames(error.__traceback__)
+        event["frames"] = _formatted_frames(error.__traceback__)
     return event
 
 
@@ -168,12 +176,13 @@
             return None
 
 
-def _frames(trace: TracebackType | None) -> list[str]:
+def _formatted_frames(trace: TracebackType | None) -> list[str]:
     summary = traceback.extract_tb(trace)[-MAX_FRAMES:]
     return [
-        f"{_short(frame.filename)}:{frame.lineno} {frame.name}" for frame in summary
+        f"{_shortened_path(frame.filename)}:{frame.lineno} {frame.name}"
+        for frame in summary
     ]
 
 
-def _short(path: str) -> str:
+def _shortened_path(path: str) -> str:
     return "/".join(path.split("/")[-2:])
--- a/src/bankrudder/logs/_sink.py
+++ b/src/bankrudder/logs/_sink.py
@@ -1,53 +1,54 @@
-"""Writing of log lines that never waits for whoever reads them."""
+"""Non-blocking output of log lines."""
 
 import os
 from typing import Any
 
-MAX_WAITING_BYTES = 256 * 1024
-"""Lines that wait for a slow reader; more are dropped and counted. Some thousand
-lines, and a small part of a host's memory."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Size of the buffer for lines that the reader has not taken yet. Further lines are
+dropped and counted. The buffer holds some thousand lines and takes a small part of a
+host's memory."""
 
 
 class NonBlockingSink:
-    """A text stream on a file descriptor that drops lines rather than wait.
+    """A text stream on a file descriptor that drops lines instead of blocking.
 
     Parameters
     ----------
     descriptor : int
-        Open for writing; it is set not to block.
+        Open for writing; it is switched to non-blocking mode.
     """
 
     def __init__(self, descriptor: int):
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._waiting = bytearray()
-        self._dropped = 0
+        self._buffer = bytearray()
+        self._dropped_count = 0
 
     @property
-    def dropped(self) -> int:
+    def dropped_count(self) -> int:
         """Number of writes that were dropped since the start."""
-        return self._dropped
+        return self._dropped_count
 
     def write(self, text: str) -> int:
-        """Write a line, or keep it until the reader is ready."""
+        """Write a line, or buffer it until the reader is ready."""
         line = text.encode("utf-8", "replace")
-        if len(self._waiting) + len(line) > MAX_WAITING_BYTES:
-            self._dropped += 1
+        if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
+            self._dropped_count += 1
         else:
-            self._waiting += line
+            self._buffer += line
         self.flush()
         return len(text)
 
     def flush(self, *_: Any) -> None:
-        """Write what the reader takes now."""
-        while self._waiting:
+        """Write as much of the buffer as the descriptor takes without blocking."""
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._waiting)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is nowhere to say so.
-                self._dropped += 1
-                self._waiting.clear()
+                # The reader has closed the pipe, and there is no other place to log to.
+                self._dropped_count += 1
+                self._buffer.clear()
                 return
-            del self._waiting[:written]
+            del self._buffer[:written]
--- a/src/bankrudder/observe/_metrics.py
+++ b/src/bankrudder/observe/_metrics.py
@@ -205,7 +205,7 @@
                 collectors[sample.name] = collector
             if not isinstance(collector, kind):
                 raise ValueError(
-                    f"metric {sample.name!r} is reported both as counter and as gauge"
+                    f"metric {sample.name} is reported both as counter and as gauge"
                 )
             collector.set(_escaped_labels(sample.labels), sample.value)
         except ValueError:
@@ -220,7 +220,7 @@
     ) -> prometheus.Counter | prometheus.Gauge:
         name = _checked_name(sample.name)
         if name in self._registry.collectors:
-            raise ValueError(f"metric {name!r} is already in the node's registry")
+            raise ValueError(f"metric {name} is already in the node's registry")
         help = sample.help or name
         return kind(name, help, self._const_labels, registry)
 
--- a/tests/logs/test_bounds.py
+++ b/tests/logs/test_limits.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded in number, never wait for a reader, and are all counted."""
+"""Log lines are limited in rate, never block on a reader, and are all counted."""
 
 import os
 
@@ -7,7 +7,7 @@
 
 from bankrudder.logs import LineLimit, NonBlockingSink
 from bankrudder.logs._limit import INFO_LINES_PER_S, WARNING_LINES_PER_S
-from bankrudder.logs._sink import MAX_WAITING_BYTES
+from bankrudder.logs._sink import MAX_BUFFERED_BYTES
 
 
 @pytest.fixture
@@ -23,7 +23,7 @@
         os.close(descriptor)
 
 
-def passed(limit, level, count, event="relay: answered"):
+def passed_lines(limit, level, count, event="relay: answered"):
     lines = []
     for _ in range(count):
         try:
@@ -33,25 +33,25 @@
     return lines
 
 
-def test_each_event_has_a_bound_of_its_own(limit):
-    assert len(passed(limit, "info", 1000)) == INFO_LINES_PER_S
-    assert len(passed(limit, "info", 3, "batches: accepted")) == 3
+def test_each_event_has_its_own_limit(limit):
+    assert len(passed_lines(limit, "info", 1000)) == INFO_LINES_PER_S
+    assert len(passed_lines(limit, "info", 3, "batches: accepted")) == 3
 
 
-def test_warnings_are_kept_longest(limit):
-    assert len(passed(limit, "warning", 1000)) == WARNING_LINES_PER_S
+def test_warnings_have_a_higher_limit(limit):
+    assert len(passed_lines(limit, "warning", 1000)) == WARNING_LINES_PER_S
     assert WARNING_LINES_PER_S > INFO_LINES_PER_S
 
 
-def test_the_next_line_tells_how_many_were_left_out(limit, hand_clock):
-    passed(limit, "info", INFO_LINES_PER_S + 7)
+def test_the_next_line_has_the_number_of_suppressed_lines(limit, hand_clock):
+    passed_lines(limit, "info", INFO_LINES_PER_S + 7)
     hand_clock.advance(1.0)
-    [line] = passed(limit, "info", 1)
+    [line] = passed_lines(limit, "info", 1)
     assert line["lines_left_out_before"] == 7
 
 
-def test_lines_that_are_left_out_are_counted(limit):
-    passed(limit, "info", 1000)
+def test_suppressed_lines_are_counted(limit):
+    passed_lines(limit, "info", 1000)
     assert limit.totals["relay: answered", "info"] == 1000
 
 
@@ -59,12 +59,12 @@
     _, writer = pipe
     sink = NonBlockingSink(writer)
     line = "x" * 1023 + "\n"
-    for _ in range(MAX_WAITING_BYTES // 1024 + 200):
+    for _ in range(MAX_BUFFERED_BYTES // 1024 + 200):
         sink.write(line)
-    assert sink.dropped > 0
+    assert sink.dropped_count > 0
 
 
-def test_lines_that_waited_come_whole_when_the_reader_is_back(pipe):
+def test_buffered_lines_are_complete_once_the_reader_continues(pipe):
     reader, writer = pipe
     sink = NonBlockingSink(writer)
     for number in range(100):
@@ -77,10 +77,10 @@
     assert numbers == list(range(100))
 
 
-def test_a_reader_that_is_gone_is_no_error(pipe):
+def test_a_closed_reader_causes_no_error(pipe):
     reader, writer = os.pipe()
     sink = NonBlockingSink(writer)
     os.close(reader)
     sink.write("line\n")
-    assert sink.dropped == 1
+    assert sink.dropped_count == 1
     os.close(writer)
