--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,9 +1,9 @@
-"""The main job on the stand-ins of the users' platform, judged.
+"""Demonstration of the service on a simulated platform, with checks of its guarantees.
 
-Starts daemons as processes on loopback, lets two trainers and three callers use them,
-stops one host as planned, kills another, changes the configuration, takes away a key of
-one of two workspaces, and checks what all sides saw. At the end it prints what each
-workspace used. The exit code is 1 if a promise was broken.
+Starts daemons as processes on loopback, which two trainers and three callers use. Stops
+one host gracefully, kills another, changes the configuration, and revokes an API
+key of one of two workspaces. Then checks what clients and endpoints saw, and prints the
+usage of each workspace. The exit status is 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -15,26 +15,26 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "src"), str(ROOT / "tests")]
 
 from soak.__main__ import SoakRun  # noqa: E402
-from soak.faults import Strike  # noqa: E402
+from soak.faults import Fault  # noqa: E402
 
 HOSTS = 4
 ENGINES = 3
 SECONDS = 8.0
 
-STORY = (
-    Strike(2.0, "configuration_changed", 0, 0.0),
-    Strike(3.0, "stop", 1, 0.0),
-    Strike(4.0, "key_taken_away", 0, 1.0),
-    Strike(5.0, "kill", 2, 1.0),
-    Strike(7.0, "configuration_changed", 0, 0.0),
+SCHEDULE = (
+    Fault(2.0, "configuration_changed", 0, 0.0),
+    Fault(3.0, "stop", 1, 0.0),
+    Fault(4.0, "key_taken_away", 0, 1.0),
+    Fault(5.0, "kill", 2, 1.0),
+    Fault(7.0, "configuration_changed", 0, 0.0),
 )
-"""What happens, and when in seconds."""
+"""Faults and other changes of the run, with their times in seconds."""
 
 
-async def play():
-    """Play the story; return the broken promises."""
+async def run_demo():
+    """Run the schedule; return a sentence for each violated guarantee."""
     with tempfile.TemporaryDirectory(prefix="demo-") as folder:
-        run = SoakRun(0, SECONDS, HOSTS, ENGINES, STORY, Path(folder))
+        run = SoakRun(0, SECONDS, HOSTS, ENGINES, SCHEDULE, Path(folder))
         try:
             found = await run.run()
             print("\n".join(run.usage_lines()))
@@ -45,12 +45,12 @@
 
 def main():
     """Run the demo and return the exit code."""
-    print(f"demo: {HOSTS} hosts, {ENGINES} engines, and their stand-ins")
-    found = asyncio.run(play())
+    print(f"demo: {HOSTS} hosts, {ENGINES} engines, and a simulated platform")
+    found = asyncio.run(run_demo())
     for sentence in found:
         print(f"BROKEN: {sentence}")
     if not found:
-        print("every promise held")
+        print("no guarantee was violated")
     return 1 if found else 0
 
 
--- a/bench/explain.py
+++ b/bench/explain.py
@@ -1,8 +1,8 @@
-"""Four kinds of failed request, each brought about and explained from its id.
+"""Demonstration of ``bankrudder find`` on four kinds of failed requests.
 
-Starts a small site on loopback, lets a call be refused, a call that may run once lose
-its answer, a step come late, and a request crash endpoints, and shows for each what
-``bankrudder find`` prints of the hosts' logs.
+Starts a few hosts and endpoints on loopback and causes four failures: a refused call, a
+non-idempotent call whose answer is lost, a delayed step, and a request that crashes
+endpoints. For each it prints what ``bankrudder find`` finds in the logs of the hosts.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 async def ask(site, request_id, faults):
-    """Make a request that may run once while endpoints fail; return the id."""
+    """Make a non-idempotent request while endpoints fail; return its id."""
     for scorer in site.scorers:
         scorer.fail_next = list(faults)
     status, headers, _ = await site.call(
@@ -39,17 +39,17 @@
 
 
 async def refuse(site):
-    """Let all endpoints be full; return the request's id."""
+    """Call while all endpoints are at capacity; return the request id."""
     return await ask(site, "refused-1", ["full"] * 20)
 
 
 async def lose(site):
-    """Let the answer to a call that may run once be lost; return its id."""
+    """Lose the answer to a non-idempotent call; return the request id."""
     return await ask(site, "lost-1", ["reset"])
 
 
 async def delay(site):
-    """Kill the host that works on a step; return the step's id."""
+    """Kill the host that runs a step; return the id of the step."""
     for engine in site.engines:
         engine.events, engine.event_gap_s = 30, 0.05
     await site.submit(site.hosts[0], "late-1", samples=4)
@@ -61,12 +61,12 @@
     left = [host for host in site.hosts if host is not owner]
     results = await site.read_all("late-1", 4, left)
     check_results(results, "late-1", 4, events=30)
-    print(f"the last sample came {time.monotonic() - began:.1f} s after the kill")
+    print(f"the last sample arrived {time.monotonic() - began:.1f} s after the kill")
     return "late-1"
 
 
 async def crash(site):
-    """Let a request crash endpoints until it is refused; return its last id."""
+    """Repeat a request that crashes endpoints until it is refused; return its id."""
     service = CrashingService(site, SCORERS, await three_scorers(site))
     for number in range(4):
         await until(lambda: service.is_whole)
@@ -78,25 +78,27 @@
             body=CRASHING,
             headers={"X-Request-Deadline": "1500", "X-Request-Id": f"crash-{number}"},
         )
-        told = f"Retry-After {headers.get('Retry-After')}, {body.decode().strip()}"
-        print(f"the caller got {status}, {told}")
+        answer_text = (
+            f"Retry-After {headers.get('Retry-After')}, {body.decode().strip()}"
+        )
+        print(f"the caller got {status}, {answer_text}")
     await service.stop()
     return "crash-3"
 
 
 async def explain():
-    """Bring the failures about, one after the other; return the ids without lines."""
+    """Cause the failures one after the other; return the ids without any log lines."""
     missing = []
     with tempfile.TemporaryDirectory(prefix="explain-") as folder:
         site = await Site(Path(folder)).start()
         try:
-            for bring_about in (refuse, lose, crash, delay):
-                print(f"\n== {(bring_about.__doc__ or '').partition(';')[0]}")
-                wanted = await bring_about(site)
+            for cause_failure in (refuse, lose, crash, delay):
+                print(f"\n== {(cause_failure.__doc__ or '').partition(';')[0]}")
+                wanted = await cause_failure(site)
                 await asyncio.sleep(0.2)
                 logs = [str(host.log_path) for host in site.hosts]
                 print(f"$ bankrudder find {wanted} logs/*.log")
-                text = await asyncio.to_thread(_found, wanted, logs)
+                text = await asyncio.to_thread(_find_output, wanted, logs)
                 print(text, end="")
                 if not text:
                     missing.append(wanted)
@@ -105,7 +107,7 @@
     return missing
 
 
-def _found(wanted, logs):
+def _find_output(wanted, logs):
     text = io.StringIO()
     with contextlib.redirect_stdout(text):
         command(["find", wanted, *logs])
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real daemons, stand-ins of the platform, faults from outside."""
+"""Randomized soak test: real daemons, a simulated platform, and injected faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,8 +1,8 @@
-"""Runs the soak: ``python -m soak --seed 7 --seconds 20``.
+"""Runs the soak test: ``python -m soak --seed 7 --seconds 20``.
 
-Prints progress while it runs and a report at the end; exits with 1 if a promise was
-broken. A seed names the schedule of faults; what happens between processes is not
-repeated exactly.
+Prints the injected faults during a run and a report at its end. The exit status is 1 if
+a guarantee was violated. A seed determines the schedule of faults, but not the timing
+between processes.
 """
 
 import argparse
@@ -24,8 +24,8 @@
     CRASHING_KINDS,
     DUTY_KINDS,
     FIRST_KINDS,
-    HEAL_S,
     KINDS,
+    RECOVERY_WAIT_S,
     SECOND_KINDS,
     THIRD_KINDS,
     WORKSPACE_KINDS,
@@ -40,17 +40,18 @@
 SAMPLES = 8
 EVENT_GAP_S = 0.03
 SLOW_EVENT_GAP_S = 0.15
-"""Time between two events, for even and for odd seeds: short batches are many, long
-ones are more often in the middle when a fault strikes."""
+"""Time between two events of a sample, for even and for odd seeds. Short gaps give many
+batches; with long gaps, batches are more often in progress when a fault is injected."""
 
 SERVED_SHARE = 0.9
-"""Share of the requests made after the faults have healed that must be served."""
+"""Share of the requests after recovery that must be served."""
 
 MIN_READERS = 3
-"""Hosts from which on one reads the store for the others, so that runs have both."""
+"""Number of hosts from which on one host reads the store for the others. It is small,
+so that runs cover both modes."""
 
-DOWN_S = 0.5
-"""Time for which a crashed endpoint is away: some seconds on the platform."""
+RESTART_DELAY_S = 0.5
+"""Time after which crashed endpoints are restarted; on the platform, some seconds."""
 
 PLOT_COLUMNS = 60
 
@@ -66,14 +67,14 @@
 
 
 class SoakRun:
-    """One run: a site behind proxies, clients, a schedule, and what was seen."""
+    """One soak run: hosts and engines behind proxies, clients, faults and a history."""
 
-    def __init__(self, seed, seconds, hosts, engines, strikes, folder):
+    def __init__(self, seed, seconds, hosts, engines, schedule, folder):
         self.seed = seed
         self._event_gap_s = SLOW_EVENT_GAP_S if seed % 2 else EVENT_GAP_S
         self.history = History()
-        # A host that can be suspended runs on another loop than the daemon's own.
-        is_suspended = any(strike.kind == "suspend" for strike in strikes)
+        # A host that can be suspended does not run on the daemon's usual event loop.
+        has_suspension = any(fault.kind == "suspend" for fault in schedule)
         self.site = Site(
             folder,
             hosts,
@@ -81,29 +82,29 @@
             EVENTS,
             rpc=RPC,
             min_readers=MIN_READERS,
-            suspendable=int(is_suspended),
+            suspendable=int(has_suspension),
         )
-        has_workspaces = any(strike.kind in WORKSPACE_KINDS for strike in strikes)
+        has_workspaces = any(fault.kind in WORKSPACE_KINDS for fault in schedule)
         self.workspaces = SoakWorkspaces(self) if has_workspaces else None
         self.engine_proxies = []
         self.revision = 1
         self.trainers = []
-        self._over = asyncio.Event()
-        self._crashing = {}
-        self._starts = itertools.count(1)
+        self._stop_event = asyncio.Event()
+        self._crashing_callers = {}
+        self._start_numbers = itertools.count(1)
         self._rng = random.Random(seed)
         self._seconds = seconds
-        self._strikes = strikes
-        self._struck = []
-        self._began = 0.0
+        self._schedule = schedule
+        self._injected = []
+        self._started_at = 0.0
         self._restarting = set()
 
-    def pick_host(self, strike):
-        """Return the host that a strike is on."""
-        return self.site.hosts[strike.target % len(self.site.hosts)]
+    def pick_host(self, fault):
+        """Return the host that `fault` affects."""
+        return self.site.hosts[fault.target % len(self.site.hosts)]
 
     async def restart(self, host):
-        """Start a host again unless another strike has done so."""
+        """Restart a host unless it runs already or another fault is restarting it."""
         if host in self._restarting or host.is_running:
             return
         self._restarting.add(host)
@@ -113,40 +114,46 @@
             self._restarting.discard(host)
 
     async def run(self):
-        """Play the run; return the broken promises."""
+        """Execute the run; return a sentence for each violated guarantee."""
         await self._start()
-        trainers, callers = self._clients()
+        trainers, callers = self._make_clients()
         self.trainers = trainers
-        self._began = time.monotonic()
-        over = self._over
-        keeper = asyncio.ensure_future(self._bring_back())
+        self._started_at = time.monotonic()
+        stop_event = self._stop_event
+        restart_task = asyncio.ensure_future(self._restart_crashed_endpoints())
         clients = [
-            asyncio.ensure_future(client.run(over)) for client in trainers + callers
+            asyncio.ensure_future(client.run(stop_event))
+            for client in trainers + callers
         ]
-        strikes = [
-            asyncio.ensure_future(self._strike(strike)) for strike in self._strikes
+        fault_tasks = [
+            asyncio.ensure_future(self._inject(fault)) for fault in self._schedule
         ]
         try:
-            await asyncio.gather(*strikes)
-            await self._heal()
-            healed = self.history.healed_at = time.monotonic()
-            await asyncio.sleep(HEAL_S)
-            over.set()
-            await asyncio.gather(*clients, *self._crashing.values())
+            await asyncio.gather(*fault_tasks)
+            await self._recover_hosts()
+            recovery_time = self.history.recovered_at = time.monotonic()
+            await asyncio.sleep(RECOVERY_WAIT_S)
+            stop_event.set()
+            await asyncio.gather(*clients, *self._crashing_callers.values())
             for trainer in trainers:
-                await trainer.check_kept()
+                await trainer.check_results_kept()
             self._collect()
             found = violations(self.history, EVENTS)
             if self.workspaces is not None:
-                found += await self.workspaces.broken(self.site)
-            return found + self._not_recovered(callers, trainers, healed)
+                found += await self.workspaces.find_violations(self.site)
+            return found + self._recovery_violations(callers, trainers, recovery_time)
         finally:
             self.report(trainers, callers)
-            for task in [*clients, *strikes, *self._crashing.values(), keeper]:
+            for task in [
+                *clients,
+                *fault_tasks,
+                *self._crashing_callers.values(),
+                restart_task,
+            ]:
                 task.cancel()
 
     async def stop(self):
-        """End all that was started."""
+        """Stop all processes, proxies and servers of the run."""
         await self.site.stop()
         for proxy in self.engine_proxies:
             await proxy.stop()
@@ -154,7 +161,7 @@
             await self.workspaces.platform.stop()
 
     def put_configuration(self):
-        """Write the next version of the configuration."""
+        """Write the next revision of the configuration."""
         self.revision += 1
         tenants = {}
         if self.workspaces is not None:
@@ -180,38 +187,40 @@
         await apply(self.site)
         await asyncio.sleep(0.5)
 
-    async def ask_on_and_on(self, content):
-        """Make a request that crashes endpoints until the run is over."""
-        if content not in self._crashing:
+    async def repeat_crashing_request(self, content):
+        """Repeat a request that crashes endpoints until the run ends."""
+        if content not in self._crashing_callers:
             caller = CrashingCaller(self.site, random.Random(content), content)
-            self._crashing[content] = asyncio.ensure_future(caller.run(self._over))
+            self._crashing_callers[content] = asyncio.ensure_future(
+                caller.run(self._stop_event)
+            )
 
-    async def _bring_back(self):
-        """Start crashed endpoints again, engines under their names."""
+    async def _restart_crashed_endpoints(self):
+        """Restart crashed endpoints: scorers get a new name, engines keep theirs."""
         while True:
             for scorer in self.site.scorers:
                 if scorer.has_crashed:
                     self.site.rows.remove("servers", scorer.id)
-                    await asyncio.sleep(DOWN_S)
-                    await scorer.come_back(f"scorer-again-{next(self._starts)}")
+                    await asyncio.sleep(RESTART_DELAY_S)
+                    await scorer.come_back(f"scorer-again-{next(self._start_numbers)}")
                     document = scorer.document(SCORERS)
                     self.site.rows.put("servers", scorer.id, document)
             for number, engine in enumerate(self.site.engines):
                 if engine.has_crashed:
-                    await asyncio.sleep(DOWN_S)
+                    await asyncio.sleep(RESTART_DELAY_S)
                     await engine.come_back(born=time.time_ns() // 1_000_000)
                     await self.engine_proxies[number].start()
                     self.list_engine(number)
-            await asyncio.sleep(DOWN_S / 10)
+            await asyncio.sleep(RESTART_DELAY_S / 10)
 
     def list_engine(self, number):
-        """Write an engine's entry as it is now."""
+        """Write the current entry of an engine to the store."""
         engine = self.site.engines[number]
         address = self.engine_proxies[number].address
         document = {**engine.document(ENGINES), "address": address}
         self.site.rows.put("servers", engine.id, document)
 
-    def _clients(self):
+    def _make_clients(self):
         def rng():
             return random.Random(self._rng.random())
 
@@ -220,23 +229,23 @@
             Trainer(self.site, self.history, rng(), "second", SAMPLES, False),
         ]
         callers: list[Caller | KeyedCaller] = [
-            Caller(self.site, self.history, rng(), name, self._key_of(name))
+            Caller(self.site, self.history, rng(), name, self._api_key_of(name))
             for name in ("caller0", "caller1", "caller2")
         ]
         callers += [KeyedCaller(self.site, self.history, rng()) for _ in range(2)]
         return trainers, callers
 
-    def _key_of(self, caller):
+    def _api_key_of(self, caller):
         has_own = self.workspaces is not None and caller == OTHER_CALLER
         return OTHER_KEY if has_own else ""
 
-    async def _strike(self, strike):
-        await asyncio.sleep(self._began + strike.at_s - time.monotonic())
-        self._struck.append((strike.at_s, strike.kind))
-        print(f"{strike.at_s:7.2f} s  {strike.kind}", flush=True)
-        await KINDS[strike.kind](self, strike)
+    async def _inject(self, fault):
+        await asyncio.sleep(self._started_at + fault.at_s - time.monotonic())
+        self._injected.append((fault.at_s, fault.kind))
+        print(f"{fault.at_s:7.2f} s  {fault.kind}", flush=True)
+        await KINDS[fault.kind](self, fault)
 
-    async def _heal(self):
+    async def _recover_hosts(self):
         for host in self.site.hosts:
             await self.restart(host)
         await self.site.wait_ready()
@@ -255,63 +264,63 @@
             ]
 
     def _collect_crashes(self, endpoint):
-        moments = [at for at, _ in endpoint.arrival_times]
-        for at, (_, _, path, body) in zip(moments, endpoint.arrivals, strict=True):
+        run_times = [at for at, _ in endpoint.arrival_times]
+        for at, (_, _, path, body) in zip(run_times, endpoint.arrivals, strict=True):
             if body in endpoint.crash_on:
                 self.history.crashes[path, body].append(at)
 
-    def _not_recovered(self, callers, trainers, healed):
-        since = healed + HEAL_S / 2
+    def _recovery_violations(self, callers, trainers, recovery_time):
+        since = recovery_time + RECOVERY_WAIT_S / 2
         served = sum(at > since for each in callers for at in each.served)
         failed = sum(at > since for each in callers for at in each.failed)
         if served < SERVED_SHARE * (served + failed) or not served:
-            yield_text = f"{served} of {served + failed} requests after healing"
-            return [f"not recovered: served {yield_text}"]
-        if not any(trainer.steps_done for trainer in trainers):
-            return ["no step was whole in the whole run"]
+            share_text = f"{served} of {served + failed} requests after recovery"
+            return [f"not recovered: served {share_text}"]
+        if not any(trainer.completed_step_count for trainer in trainers):
+            return ["no step was completed in the whole run"]
         return []
 
     def usage_lines(self):
-        """Return a table of what workspaces used, if there are any."""
+        """Return a table of usage by workspace as lines; empty without workspaces."""
         return self.workspaces.usage_lines() if self.workspaces is not None else []
 
     def report(self, trainers, callers):
-        """Print figures and a plot of served requests with the faults marked."""
+        """Print counts and a plot of served requests over time, with faults marked."""
         served = sorted(at for each in callers for at in each.served)
         failed = sum(len(each.failed) for each in callers)
         print(
             f"seed {self.seed}: {len(served)} requests served, {failed} not; steps "
-            f"whole {sum(each.steps_done for each in trainers)}, "
-            f"cut {sum(each.steps_cut for each in trainers)}; "
-            f"{len(self._struck)} faults; orders {len(self.history.orders)}"
+            f"completed {sum(each.completed_step_count for each in trainers)}, "
+            f"timed out {sum(each.timed_out_step_count for each in trainers)}; "
+            f"{len(self._injected)} faults; orders {len(self.history.orders)}"
         )
-        for (path, body), moments in self.history.crashes.items():
-            print(f"crashing {path} {body!r}: {len(moments)} runs")
+        for (path, body), run_times in self.history.crashes.items():
+            print(f"crashing request {path} {body!r}: {len(run_times)} runs")
         if served:
             self._plot(served)
 
     def _plot(self, served):
-        span = max(served[-1] - self._began, 1.0)
+        span = max(served[-1] - self._started_at, 1.0)
         counts = [0] * PLOT_COLUMNS
         marks = [" "] * PLOT_COLUMNS
         for at in served:
-            counts[min(int((at - self._began) / span * PLOT_COLUMNS), 59)] += 1
-        for at_s, _ in self._struck:
+            counts[min(int((at - self._started_at) / span * PLOT_COLUMNS), 59)] += 1
+        for at_s, _ in self._injected:
             marks[min(int(at_s / span * PLOT_COLUMNS), PLOT_COLUMNS - 1)] = "x"
-        most = max(counts)
+        max_count = max(counts)
         blocks = " .:-=+*#"
-        line = "".join(blocks[round(7 * count / most)] for count in counts)
+        line = "".join(blocks[round(7 * count / max_count)] for count in counts)
         print(f"served  |{line}|\nfaults  |{''.join(marks)}|  {span:.0f} s")
 
 
-def _keep_logs(run, folder):
+def _copy_logs(run, folder):
     folder.mkdir(parents=True, exist_ok=True)
     for host in run.site.hosts:
         target = folder / f"seed-{run.seed}-{host.name}.log"
         target.write_bytes(host.log_path.read_bytes())
 
 
-async def _play(arguments, seed):
+async def _run_seed(arguments, seed):
     with tempfile.TemporaryDirectory(prefix="soak-") as folder:
         run = SoakRun(
             seed,
@@ -329,7 +338,7 @@
         try:
             found = await run.run()
             if found and arguments.keep_logs:
-                _keep_logs(run, Path(arguments.keep_logs))
+                _copy_logs(run, Path(arguments.keep_logs))
         finally:
             await run.stop()
     for sentence in found:
@@ -338,28 +347,38 @@
 
 
 def main():
-    """Run the command line."""
+    """Run the command-line interface."""
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
-    parser.add_argument("--seed", type=int, default=None, help="the first seed")
-    parser.add_argument("--runs", type=int, default=1, help="seeds, one after another")
-    parser.add_argument("--seconds", type=float, default=15.0, help="time of faults")
+    parser.add_argument(
+        "--seed", type=int, default=None, help="first seed, random by default"
+    )
+    parser.add_argument(
+        "--runs", type=int, default=1, help="number of consecutive seeds"
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=15.0, help="time in which faults are injected"
+    )
     parser.add_argument("--hosts", type=int, default=4)
     parser.add_argument("--engines", type=int, default=3)
-    parser.add_argument("--strikes", type=int, default=10, help="faults or series")
+    parser.add_argument(
+        "--strikes", type=int, default=10, help="number of fault series"
+    )
     parser.add_argument(
         "--kinds",
         choices=sorted(KINDS_BY_NAME),
         default="all",
-        help="draw from some kinds of faults only; kept seeds draw from earlier ones",
+        help="set of fault kinds to draw from; seeds kept as tests use older sets",
+    )
+    parser.add_argument(
+        "--keep-logs", default="", help="folder for the logs of failed runs"
     )
-    parser.add_argument("--keep-logs", default="", help="folder for logs of failures")
     arguments = parser.parse_args()
     first = arguments.seed
     if first is None:
         first = random.SystemRandom().randrange(10**6)
     broken = []
     for seed in range(first, first + arguments.runs):
-        if asyncio.run(_play(arguments, seed)):
+        if asyncio.run(_run_seed(arguments, seed)):
             broken.append(seed)
     print(f"{arguments.runs} runs from seed {first}: broken {broken or 'none'}")
     sys.exit(1 if broken else 0)
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Trainers and callers of the soak."""
+"""Trainers and callers of the soak test."""
 
 import asyncio
 import base64
@@ -15,52 +15,52 @@
 from soak.history import BatchSeen, CallSeen
 
 READ_PAUSE_S = 0.1
-STEP_LIMIT_S = 12.0
-"""Time after which a trainer ends a step that is not whole."""
+STEP_TIMEOUT_S = 12.0
+"""Time after which a trainer ends an incomplete step."""
 
 CALL_PAUSE_S = 0.05
 
-CLAIMING_SHARE = 0.2
-"""Share of the requests that claim to be of another workspace."""
+FOREIGN_TENANT_SHARE = 0.2
+"""Share of the requests with an ``X-Tenant`` header that claims another workspace."""
 
-GONE = (aiohttp.ClientError, TimeoutError, OSError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 class Trainer:
-    """Submits steps, reads them, ends them, names versions."""
+    """Submits steps, reads and ends them, and publishes versions of the weights."""
 
-    def __init__(self, site, history, rng, name, samples, names_versions):
+    def __init__(self, site, history, rng, name, samples, publishes_versions):
         self._site = site
         self._history = history
         self._rng = rng
         self._name = name
         self._samples = samples
-        self._names_versions = names_versions
-        self.steps_done = 0
-        self.steps_cut = 0
-        self._crashes_next = False
+        self._publishes_versions = publishes_versions
+        self.completed_step_count = 0
+        self.timed_out_step_count = 0
+        self._crashes_next_step = False
 
-    def crash_next(self):
+    def crash_next_step(self):
         """Let a sample of the next step crash the engines which run it."""
-        self._crashes_next = True
+        self._crashes_next_step = True
 
-    async def run(self, over):
-        """Train until an event is set."""
+    async def run(self, stop_event):
+        """Train until `stop_event` is set."""
         for step in itertools.count():
-            if over.is_set():
+            if stop_event.is_set():
                 return
-            await self._step(step, over)
-            if self._names_versions:
+            await self._step(step, stop_event)
+            if self._publishes_versions:
                 self._site.name_version(step + 2)
             await asyncio.sleep(0.2)
 
-    async def _step(self, step, over):
-        min_version = max(step, 1) if self._names_versions else 1
+    async def _step(self, step, stop_event):
+        min_version = max(step, 1) if self._publishes_versions else 1
         document = batch(f"{self._name}{step}", self._samples, min_version)
-        if self._crashes_next:
-            self._crashes_next = False
+        if self._crashes_next_step:
+            self._crashes_next_step = False
             document["items"][0]["body"] = base64.b64encode(CRASHING).decode()
-            # The path tells it from crashing samples of other steps.
+            # The path distinguishes the sample from crashing samples of other steps.
             document["items"][0]["path"] += f"-{self._name}{step}"
         seen = BatchSeen(
             f"{self._name}{step}",
@@ -68,22 +68,22 @@
             [item["id"] for item in document["items"]],
         )
         self._history.batches[seen.batch_id] = seen
-        if not await self._submit(seen, document, over):
+        if not await self._submit(seen, document, stop_event):
             return
         began = time.monotonic()
         while len(seen.positions) < self._samples:
-            if time.monotonic() > began + STEP_LIMIT_S:
-                self.steps_cut += 1
+            if time.monotonic() > began + STEP_TIMEOUT_S:
+                self.timed_out_step_count += 1
                 break
             await self._read(seen)
             await asyncio.sleep(READ_PAUSE_S)
         else:
-            self.steps_done += 1
+            self.completed_step_count += 1
         await self._end(seen)
 
-    async def _submit(self, seen, document, over):
+    async def _submit(self, seen, document, stop_event):
         body = json.dumps(document).encode()
-        while not over.is_set():
+        while not stop_event.is_set():
             status, _ = await self._ask(submission(seen.batch_id, body))
             if status == 202:
                 seen.was_accepted = True
@@ -94,7 +94,7 @@
         return False
 
     async def _read(self, seen):
-        # Now and then from an earlier position, which must not have changed.
+        # Some reads start at an earlier position, whose result must not have changed.
         after = len(seen.positions)
         if after and self._rng.random() < 0.2:
             after = self._rng.randrange(after)
@@ -115,8 +115,8 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def check_kept(self):
-        """Read every batch of this trainer once more, whole."""
+    async def check_results_kept(self):
+        """Read all results of every batch of this trainer once more."""
         for seen in self._history.batches.values():
             if not seen.batch_id.startswith(self._name) or not seen.was_accepted:
                 continue
@@ -134,12 +134,12 @@
         host = self._rng.choice(self._site.hosts)
         try:
             return await self._site.ask(host, call)
-        except GONE:
+        except CONNECTION_ERRORS:
             return 0, b""
 
 
 class Caller:
-    """Makes requests on a connection that it keeps while it can."""
+    """Makes requests over a connection that is reused until a request fails."""
 
     def __init__(self, site, history, rng, name, key=""):
         self._site = site
@@ -150,10 +150,10 @@
         self.served = []
         self.failed = []
 
-    async def run(self, over):
-        """Call until an event is set."""
+    async def run(self, stop_event):
+        """Make requests until `stop_event` is set."""
         for number in itertools.count():
-            if over.is_set():
+            if stop_event.is_set():
                 return
             host = self._rng.choice(self._site.hosts)
             async with aiohttp.ClientSession(
@@ -179,7 +179,7 @@
             "X-Request-Deadline": "1500",
             **self._credentials(),
         }
-        if self._site.key and self._rng.random() < CLAIMING_SHARE:
+        if self._site.key and self._rng.random() < FOREIGN_TENANT_SHARE:
             headers["X-Tenant"] = "somebody-else"
         status, body = 0, b""
         try:
@@ -189,19 +189,19 @@
                 headers=headers,
             ) as response:
                 status, body = response.status, await response.read()
-        except GONE:
+        except CONNECTION_ERRORS:
             status, body = 0, b""
         self._history.calls.append(CallSeen(request_id, path, status, body))
-        moments = self.served if status == 200 else self.failed
-        moments.append(time.monotonic())
+        times = self.served if status == 200 else self.failed
+        times.append(time.monotonic())
         return status == 200
 
 
 class CrashingCaller:
-    """Makes one request again and again, as callers do who get no answer.
+    """Repeats one request, as callers do that get no answer.
 
-    A series is an attempt and one repeat, each at another host; the next series comes
-    some seconds later.
+    A series consists of an attempt and one retry, each at a random host. The next
+    series starts 0.5 to 2 s later.
     """
 
     def __init__(self, site, rng, content):
@@ -209,11 +209,11 @@
         self._rng = rng
         self._content = content
 
-    async def run(self, over):
-        """Call until an event is set."""
+    async def run(self, stop_event):
+        """Make requests until `stop_event` is set."""
         for number in itertools.count():
             for attempt in range(2):
-                if over.is_set():
+                if stop_event.is_set():
                     return
                 await self._ask(f"{self._content.decode()} {number}.{attempt}")
                 await asyncio.sleep(self._rng.uniform(0.05, 0.2))
@@ -222,7 +222,7 @@
     async def _ask(self, request_id):
         headers = {"X-Request-Id": request_id, "X-Request-Deadline": "1500"}
         host = self._rng.choice(self._site.hosts)
-        with suppress(*GONE):
+        with suppress(*CONNECTION_ERRORS):
             await self._site.call(
                 host, "POST", "/score/x", body=self._content, headers=headers
             )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the soak, struck from outside the daemons."""
+"""Faults of the soak test, which are injected from outside the daemons."""
 
 import asyncio
 import time
@@ -9,248 +9,255 @@
 from outside.store import GateMode
 from soak.proxy import LinkMode
 
-HEAL_S = 6.0
-"""Time after the last fault in which everything has to work again."""
+RECOVERY_WAIT_S = 6.0
+"""Time after the last fault in which the service has to recover completely."""
 
 
 @dataclass
-class Strike:
-    """One fault: when, which, on whom, for how long."""
+class Fault:
+    """One scheduled fault.
+
+    ``target`` is an arbitrary number, from which the affected host or endpoint is
+    selected by a modulo.
+    """
 
     at_s: float
     kind: str
     target: int
-    seconds: float
+    duration_s: float
 
 
 def draw(rng, length_s, count, kinds):
-    """Draw a schedule; strikes come in series and overlap.
+    """Draw a random schedule, in which faults come in series and overlap.
 
-    ``kinds`` are names of `KINDS`; the same seed draws the same schedule only from the
-    same ones.
+    ``kinds`` are names from `KINDS`. A seed gives the same schedule only with the same
+    kinds.
     """
-    strikes = []
+    schedule = []
     for _ in range(count):
         at_s = rng.uniform(1.0, length_s)
         series = rng.choice([1, 1, 2, 3])
         for number in range(series):
-            strikes.append(
-                Strike(
+            schedule.append(
+                Fault(
                     min(at_s + number * rng.uniform(0.05, 1.0), length_s),
                     rng.choice(sorted(kinds)),
                     rng.randrange(1000),
                     rng.uniform(0.3, 4.0),
                 )
             )
-    return sorted(strikes, key=lambda strike: strike.at_s)
+    return sorted(schedule, key=lambda fault: fault.at_s)
 
 
-async def _kill(run, strike):
-    host = run.pick_host(strike)
+async def _kill(run, fault):
+    host = run.pick_host(fault)
     await host.kill()
-    await asyncio.sleep(strike.seconds / 4)
+    await asyncio.sleep(fault.duration_s / 4)
     await run.restart(host)
 
 
-async def _kill_all(run, strike):
+async def _kill_all(run, fault):
     hosts = list(run.site.hosts)
     for host in hosts:
         await host.kill()
-    await asyncio.sleep(strike.seconds / 4)
+    await asyncio.sleep(fault.duration_s / 4)
     for host in hosts:
         await run.restart(host)
 
 
-async def _stop(run, strike):
-    host = run.pick_host(strike)
+async def _stop(run, fault):
+    host = run.pick_host(fault)
     if host.is_running:
         host.terminate()
         await host.wait_gone(9.0)
     await run.restart(host)
 
 
-async def _freeze(run, strike):
-    host = run.pick_host(strike)
+async def _freeze(run, fault):
+    host = run.pick_host(fault)
     host.try_signal(FREEZE)
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     host.try_signal(THAW)
 
 
-async def _hang_up(run, strike):
-    run.pick_host(strike).try_signal(HANG_UP)
+async def _hang_up(run, fault):
+    run.pick_host(fault).try_signal(HANG_UP)
 
 
-async def _store_gate(run, strike, mode):
-    gate = run.pick_host(strike).gate
+async def _store_gate(run, fault, mode):
+    gate = run.pick_host(fault).gate
     gate.mode = mode
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     gate.mode = GateMode.OPEN
 
 
-async def _store_all(run, strike, mode):
+async def _store_all(run, fault, mode):
     for host in run.site.hosts:
         host.gate.mode = mode
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     for host in run.site.hosts:
         host.gate.mode = GateMode.OPEN
 
 
-async def _store_link(run, strike, mode):
-    proxy = run.pick_host(strike).store_proxy
+async def _store_link(run, fault, mode):
+    proxy = run.pick_host(fault).store_proxy
     proxy.mode = mode
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     proxy.mode = LinkMode.OPEN
     if mode is not LinkMode.DELAYED:
-        # What was swallowed leaves these connections of no use to anybody.
+        # Bytes that were dropped make these connections unusable.
         proxy.reset_all()
 
 
-async def _store_reset(run, strike):
-    run.pick_host(strike).store_proxy.reset_all()
+async def _store_reset(run, fault):
+    run.pick_host(fault).store_proxy.reset_all()
 
 
-async def _store_lost(run, strike):
-    run.pick_host(strike).gate.lose_replies += 3
+async def _store_lost(run, fault):
+    run.pick_host(fault).gate.lose_replies += 3
 
 
-async def _store_late(run, strike):
-    gate = run.pick_host(strike).gate
+async def _store_late(run, fault):
+    gate = run.pick_host(fault).gate
     gate.delay_commits += 2
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     gate.carry_out_delayed()
 
 
-async def _history_lost(run, strike):
+async def _history_lost(run, fault):
     run.site.rows.forget_history()
 
 
-async def _engine_link(run, strike, mode):
-    proxy = run.engine_proxies[strike.target % len(run.engine_proxies)]
+async def _engine_link(run, fault, mode):
+    proxy = run.engine_proxies[fault.target % len(run.engine_proxies)]
     proxy.mode = mode
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     proxy.mode = LinkMode.OPEN
     proxy.reset_all()
 
 
-async def _engine_cuts(run, strike):
-    run.site.engines[strike.target % len(run.site.engines)].cut_after += [1, 2, 3]
+async def _engine_cuts(run, fault):
+    run.site.engines[fault.target % len(run.site.engines)].cut_after += [1, 2, 3]
 
 
-async def _endpoint_fails(run, strike, how):
+async def _endpoint_fails(run, fault, failure):
     endpoints = run.site.engines + run.site.scorers
-    endpoints[strike.target % len(endpoints)].fail_next += [how] * 3
+    endpoints[fault.target % len(endpoints)].fail_next += [failure] * 3
 
 
-async def _order_lost(run, strike):
-    run.site.engines[strike.target % len(run.site.engines)].lose_order_replies += 1
+async def _order_lost(run, fault):
+    run.site.engines[fault.target % len(run.site.engines)].lose_order_replies += 1
 
 
-async def _order_late(run, strike):
-    engine = run.site.engines[strike.target % len(run.site.engines)]
+async def _order_late(run, fault):
+    engine = run.site.engines[fault.target % len(run.site.engines)]
     engine.delay_orders += 1
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     await engine.carry_out_delayed()
 
 
-async def _engine_starts_again(run, strike):
-    """Restart an engine under its name; every other time the list tells so later."""
-    number = strike.target % len(run.site.engines)
+async def _engine_starts_again(run, fault):
+    """Restart an engine under its name.
+
+    For every other target, its entry in the list of endpoints is updated late.
+    """
+    number = fault.target % len(run.site.engines)
     run.site.engines[number].start_again(time.time_ns() // 1_000_000)
     run.engine_proxies[number].reset_all()
-    if strike.target % 2:
-        await asyncio.sleep(strike.seconds)
+    if fault.target % 2:
+        await asyncio.sleep(fault.duration_s)
     run.list_engine(number)
 
 
-async def _entry_unreadable(run, strike):
-    number = strike.target % len(run.site.engines)
+async def _entry_unreadable(run, fault):
+    number = fault.target % len(run.site.engines)
     key = ("servers", "", run.site.engines[number].id)
     run.site.rows.commit([], [(key, b'{"state": "\xff')], [])
-    await asyncio.sleep(strike.seconds)
+    await asyncio.sleep(fault.duration_s)
     run.list_engine(number)
 
 
-async def _request_crashes(run, strike):
-    """Have a request come again and again that crashes the endpoints which run it."""
-    content = b"crash %d" % strike.target
+async def _request_crashes(run, fault):
+    """Repeat a request that crashes the endpoints which run it, until the run ends."""
+    content = b"crash %d" % fault.target
     for scorer in run.site.scorers:
         scorer.crash_on.add(content)
-    await run.ask_on_and_on(content)
+    await run.repeat_crashing_request(content)
 
 
-async def _sample_crashes(run, strike):
-    """Have one sample of a next step crash the engines which run it."""
-    run.trainers[strike.target % len(run.trainers)].crash_next()
+async def _sample_crashes(run, fault):
+    """Let a sample of the next step of a trainer crash the engines which run it."""
+    run.trainers[fault.target % len(run.trainers)].crash_next_step()
     for engine in run.site.engines:
         engine.crash_on.add(CRASHING)
-        engine.crash_after_events = strike.target % 3
+        engine.crash_after_events = fault.target % 3
 
 
-async def _suspend(run, strike):
-    """Suspend the host for which that can be done."""
-    await run.site.hosts[0].suspend(strike.seconds)
+async def _suspend(run, fault):
+    """Suspend host 0, the only one that can be suspended."""
+    await run.site.hosts[0].suspend(fault.duration_s)
 
 
-async def _configure(run, strike):
+async def _configure(run, fault):
     run.put_configuration()
 
 
-async def _key_taken_away(run, strike):
-    """Replace the key that clients show; the former one goes a moment later."""
-    await run.workspaces.replace_key(strike.seconds)
+async def _key_taken_away(run, fault):
+    """Replace the API key that clients send; revoke the previous one later."""
+    await run.workspaces.replace_key(fault.duration_s)
 
 
-async def _duty_answers(run, strike, answer):
+async def _duty_answers(run, fault, answer):
     run.workspaces.platform.answers += [answer] * 3
 
 
-UNLEARNED = 40
-"""Answers that are lost one after the other, more than a holder makes calls."""
+LOST_ANSWER_COUNT = 40
+"""Consecutive answers that are lost, more than the calls that a duty holder makes."""
 
-SETTLED_S = 4.0
-"""Time after which a window is settled without the counts of a host: as the soak's
-platform asks for reports within this time."""
+WINDOW_SETTLED_S = 4.0
+"""Time after which a usage window is settled even if the counts of a host are missing,
+equal to the time in which the simulated platform requires reports."""
 
 
-async def _counts_late(run, strike):
-    """Have counts come after their reports, of which nobody learns that they arrived.
+async def _counts_late(run, fault):
+    """Delay usage counts until their windows were reported, and lose report answers.
 
-    Then the holder is lost, and another one has the reports and more counts than they
-    tell of.
+    Then the duty holder is killed. Its successor finds the reports, and counts that are
+    higher than the reported ones.
     """
     gates = [host.gate for host in run.site.hosts]
     for gate in gates:
         gate.refuses_table = "usage"
     answers = run.workspaces.platform.answers
-    answers += ["lost"] * UNLEARNED
-    await asyncio.sleep(SETTLED_S)
+    answers += ["lost"] * LOST_ANSWER_COUNT
+    await asyncio.sleep(WINDOW_SETTLED_S)
     for gate in gates:
         gate.refuses_table = ""
-    await asyncio.sleep(strike.seconds / 2)
-    await _holder(run, strike, _kill)
+    await asyncio.sleep(fault.duration_s / 2)
+    await _holder(run, fault, _kill)
     answers.clear()
 
 
-async def _duty_slow(run, strike):
-    run.workspaces.platform.delay_s = strike.seconds
-    await asyncio.sleep(2 * strike.seconds)
+async def _duty_slow(run, fault):
+    run.workspaces.platform.delay_s = fault.duration_s
+    await asyncio.sleep(2 * fault.duration_s)
     run.workspaces.platform.delay_s = 0.0
 
 
-async def _holder(run, strike, struck):
-    """Strike the host that made the last call of a duty."""
+async def _holder(run, fault, inject_fault):
+    """Inject a fault into the host that made the last call of a duty."""
     calls = run.workspaces.platform.calls
     name = calls[-1][1] if calls else ""
     for number, host in enumerate(run.site.hosts):
         if host.name == name:
-            await struck(run, replace(strike, target=number))
+            await inject_fault(run, replace(fault, target=number))
 
 
-def _with(strike_kind, *arguments):
-    async def struck(run, strike):
-        await strike_kind(run, strike, *arguments)
+def _bound(base_injector, *arguments):
+    async def inject_fault(run, fault):
+        await base_injector(run, fault, *arguments)
 
-    return struck
+    return inject_fault
 
 
 KINDS = {
@@ -259,33 +266,34 @@
     "stop": _stop,
     "freeze": _freeze,
     "hang_up": _hang_up,
-    "store_busy_for_one": _with(_store_gate, GateMode.BUSY),
-    "store_reset_for_one": _with(_store_gate, GateMode.RESET),
-    "store_busy_for_all": _with(_store_all, GateMode.BUSY),
-    "store_silent_for_all": _with(_store_all, GateMode.SILENT),
-    "store_link_silent": _with(_store_link, LinkMode.SILENT),
-    "store_link_one_way": _with(_store_link, LinkMode.NO_REPLIES),
-    "store_link_slow": _with(_store_link, LinkMode.DELAYED),
+    "store_busy_for_one": _bound(_store_gate, GateMode.BUSY),
+    "store_reset_for_one": _bound(_store_gate, GateMode.RESET),
+    "store_busy_for_all": _bound(_store_all, GateMode.BUSY),
+    "store_silent_for_all": _bound(_store_all, GateMode.SILENT),
+    "store_link_silent": _bound(_store_link, LinkMode.SILENT),
+    "store_link_one_way": _bound(_store_link, LinkMode.NO_REPLIES),
+    "store_link_slow": _bound(_store_link, LinkMode.DELAYED),
     "store_connections_reset": _store_reset,
     "store_replies_lost": _store_lost,
     "store_commits_late": _store_late,
     "store_history_lost": _history_lost,
-    "engine_link_silent": _with(_engine_link, LinkMode.SILENT),
-    "engine_link_one_way": _with(_engine_link, LinkMode.NO_REPLIES),
-    "engine_link_slow": _with(_engine_link, LinkMode.DELAYED),
+    "engine_link_silent": _bound(_engine_link, LinkMode.SILENT),
+    "engine_link_one_way": _bound(_engine_link, LinkMode.NO_REPLIES),
+    "engine_link_slow": _bound(_engine_link, LinkMode.DELAYED),
     "engine_cuts_streams": _engine_cuts,
-    "endpoint_errors": _with(_endpoint_fails, "500"),
-    "endpoint_full": _with(_endpoint_fails, "full"),
-    "endpoint_resets": _with(_endpoint_fails, "reset"),
-    "endpoint_truncates": _with(_endpoint_fails, "truncated"),
-    "endpoint_answers_another": _with(_endpoint_fails, "foreign"),
+    "endpoint_errors": _bound(_endpoint_fails, "500"),
+    "endpoint_full": _bound(_endpoint_fails, "full"),
+    "endpoint_resets": _bound(_endpoint_fails, "reset"),
+    "endpoint_truncates": _bound(_endpoint_fails, "truncated"),
+    "endpoint_answers_another": _bound(_endpoint_fails, "foreign"),
     "order_reply_lost": _order_lost,
     "order_late": _order_late,
     "configuration_changed": _configure,
 }
 
 FIRST_KINDS = frozenset(KINDS)
-"""What seeds that are kept as tests draw from, so that they stay what they were."""
+"""Kinds for the oldest seeds that are kept as tests, so that their schedules stay the
+same when kinds are added."""
 
 KINDS |= {
     "engine_starts_again": _engine_starts_again,
@@ -293,7 +301,7 @@
 }
 
 SECOND_KINDS = frozenset(KINDS)
-"""The same for seeds that are kept from later on."""
+"""The same for seeds that are newer than `FIRST_KINDS`."""
 
 CRASHING_KINDS = frozenset(
     {
@@ -308,7 +316,8 @@
         "endpoint_resets",
     }
 )
-"""Requests that crash endpoints, and what may hide them or be taken for one."""
+"""Requests that crash endpoints, and faults that may hide such crashes or be mistaken
+for them."""
 
 KINDS |= {
     "request_crashes": _request_crashes,
@@ -317,7 +326,7 @@
 }
 
 THIRD_KINDS = frozenset(KINDS)
-"""The same for seeds that are kept from before workspaces."""
+"""The same for seeds that are newer than `SECOND_KINDS` and older than workspaces."""
 
 DUTY_KINDS = frozenset(
     {
@@ -339,19 +348,19 @@
         "configuration_changed",
     }
 )
-"""Workspaces whose keys change, and hosts that lose a duty in the middle of it."""
+"""Key changes of workspaces, and faults of hosts that hold a duty."""
 
 KINDS |= {
     "key_taken_away": _key_taken_away,
     "counts_late": _counts_late,
-    "duty_answers_lost": _with(_duty_answers, "lost"),
-    "duty_refused": _with(_duty_answers, 503),
-    "duty_silent": _with(_duty_answers, "silent"),
+    "duty_answers_lost": _bound(_duty_answers, "lost"),
+    "duty_refused": _bound(_duty_answers, 503),
+    "duty_silent": _bound(_duty_answers, "silent"),
     "duty_slow": _duty_slow,
-    "holder_killed": _with(_holder, _kill),
-    "holder_frozen": _with(_holder, _freeze),
-    "holder_stopped": _with(_holder, _stop),
+    "holder_killed": _bound(_holder, _kill),
+    "holder_frozen": _bound(_holder, _freeze),
+    "holder_stopped": _bound(_holder, _stop),
 }
 
 WORKSPACE_KINDS = DUTY_KINDS - THIRD_KINDS
-"""Kinds that need workspaces: runs without any of them have none."""
+"""Kinds that need workspaces; a run without any of them has no workspaces."""
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,6 +1,6 @@
-"""What callers, trainers and endpoints saw, and the promises it is checked against.
+"""Records of callers, trainers and endpoints, and the guarantees they must satisfy.
 
-Nothing here comes from a daemon's own counters.
+The records hold only observations of clients and endpoints, no counters of the daemons.
 """
 
 from collections import defaultdict
@@ -8,27 +8,33 @@
 from enum import Enum
 from itertools import pairwise
 
-MOST_CRASHES = 3
-MOST_TRIES = 3
-"""Endpoints that a request may end, and times that it may be tried again after that
-once what others know of it has reached every host."""
+MAX_CRASHED_ENDPOINTS = 3
+"""Endpoints that one request may crash before hosts have to stop running it."""
 
-TOLD_S = 3.0
-"""Time in which that has reached every host."""
+MAX_RETRIES = 3
+"""Runs of that request that are still allowed once all hosts know of the crashes."""
 
-MOST_RUNS = 12
-"""Runs of a request that crashes in a whole run, however hosts and store fail."""
+PROPAGATION_LIMIT_S = 3.0
+"""Time within which all hosts know of the crashes."""
+
+MAX_CRASHING_RUNS = 12
+"""Runs of one crashing request that are allowed in a whole soak run, whatever faults of
+hosts and store occur."""
 
 ORDER_LEASE_S = 1.0
-"""Length of the lease on orders that the daemons are given."""
+"""Length of the lease on orders to engines in the settings of the daemons."""
 
-CANCEL_S = 3.0
-"""Time after the acknowledged end of a batch in which samples may still be sent."""
+CANCEL_LIMIT_S = 3.0
+"""Time after the acknowledged end of a batch in which its samples may still be sent."""
 
 
 @dataclass
 class BatchSeen:
-    """One batch as its trainer saw it."""
+    """One batch as its trainer observed it.
+
+    ``positions`` holds the first result read at each position, and ``lost`` a sentence
+    for each result or batch that was missing.
+    """
 
     batch_id: str
     min_version: int
@@ -42,7 +48,7 @@
     lost: list = field(default_factory=list)
 
     def note_page(self, after, page):
-        """Note a page of results; a position must never change."""
+        """Record a page of results and the positions at which a result has changed."""
         for number, result in enumerate(page["results"]):
             known = self.positions.setdefault(after + number, result)
             if known != result:
@@ -51,7 +57,7 @@
 
 @dataclass
 class CallSeen:
-    """One request of a caller; ``status`` is 0 without an answer."""
+    """One request of a caller; ``status`` is 0 if no response arrived."""
 
     request_id: str
     path: str
@@ -60,7 +66,7 @@
 
 
 class KeyedOutcome(Enum):
-    """What a caller of the own interface was told."""
+    """Outcome that the RPC interface reported to a caller."""
 
     ANSWERED = "answered"
     FAILED = "failed"
@@ -70,7 +76,7 @@
 
 @dataclass
 class KeyedSeen:
-    """One key, and what each call under it was told, in order."""
+    """One idempotency key and the outcomes of its calls, in order."""
 
     key: str
     outcomes: list = field(default_factory=list)
@@ -78,7 +84,7 @@
 
 @dataclass
 class History:
-    """Everything that was seen in one run."""
+    """All observations of one soak run."""
 
     batches: dict = field(default_factory=dict)
     calls: list = field(default_factory=list)
@@ -89,42 +95,42 @@
     """``(time, request id)`` as endpoints received them."""
 
     runs: dict = field(default_factory=dict)
-    """Number of runs by request id, over all endpoints."""
+    """Number of runs on all endpoints, by request id."""
 
     keyed: list = field(default_factory=list)
-    """Keys of the own interface."""
+    """Keyed requests to the RPC interface."""
 
     crashes: dict = field(default_factory=lambda: defaultdict(list))
-    """By content that crashes endpoints, when one began to run it."""
+    """Times at which endpoints began to run a crashing request, by its content."""
 
-    healed_at: float = 0.0
-    """When the last fault had ended and all hosts were ready."""
+    recovered_at: float = 0.0
+    """Time at which the last fault had ended and all hosts were ready."""
 
     revisions: list = field(default_factory=list)
-    """``(host, its start, revision that an answer showed)`` in the order of time."""
+    """``(host, start of the host, revision in a response)`` in chronological order."""
 
 
-def violations(history, events):
-    """Return each broken promise as a sentence.
+def violations(history, events_per_sample):
+    """Return a sentence for each guarantee that was violated.
 
     Parameters
     ----------
-    events : int
-        Number of events of every sample.
+    events_per_sample : int
+        Number of events that every sample must have.
     """
     found = []
     for batch in history.batches.values():
-        found += _of_batch(batch, events)
-    found += _of_calls(history)
-    found += _of_keyed(history)
-    found += _of_orders(history)
-    found += _of_late_arrivals(history)
-    found += _of_revisions(history)
-    found += _of_crashes(history)
+        found += _batch_violations(batch, events_per_sample)
+    found += _call_violations(history)
+    found += _keyed_request_violations(history)
+    found += _order_violations(history)
+    found += _late_sample_violations(history)
+    found += _revision_violations(history)
+    found += _crash_violations(history)
     return found
 
 
-def _of_batch(batch, events):
+def _batch_violations(batch, events_per_sample):
     name = f"batch {batch.batch_id}"
     for position, known, other in batch.changed_positions:
         yield f"{name}: position {position} changed: {known['id']} to {other['id']}"
@@ -133,77 +139,85 @@
     ids = [result["id"] for result in batch.positions.values()]
     for sample in set(ids):
         if ids.count(sample) > 1:
-            yield f"{name}: sample {sample} stands at two positions"
+            yield f"{name}: sample {sample} is at two positions"
     for result in batch.positions.values():
         if result["id"] not in batch.samples:
-            yield f"{name}: sample {result['id']} is of another batch"
+            yield f"{name}: sample {result['id']} belongs to another batch"
         elif result["state"] == "succeeded":
-            yield from _of_result(name, result, batch.min_version, events)
+            yield from _result_violations(
+                name, result, batch.min_version, events_per_sample
+            )
 
 
-def _of_result(name, result, min_version, events):
+def _result_violations(name, result, min_version, events_per_sample):
     sample = result["id"]
     lines = result["text"].split("\n")
     numbers = [line.rpartition("-v")[0] for line in lines]
-    if numbers != [f"{sample}-{number}" for number in range(events)]:
-        yield f"{name}: text of {sample} is not whole: {numbers}"
+    if numbers != [f"{sample}-{number}" for number in range(events_per_sample)]:
+        yield f"{name}: text of {sample} has the wrong events: {numbers}"
         return
-    made = sorted({int(line.rpartition("-v")[2]) for line in lines})
-    if made != sorted(result["versions"]):
-        yield f"{name}: {sample} was made by {made}, told are {result['versions']}"
-    if made[0] < min_version:
-        yield f"{name}: {sample} was made by {made[0]}, allowed is {min_version}"
+    versions = sorted({int(line.rpartition("-v")[2]) for line in lines})
+    if versions != sorted(result["versions"]):
+        yield (
+            f"{name}: {sample} was generated by versions {versions}, "
+            f"reported are {result['versions']}"
+        )
+    if versions[0] < min_version:
+        yield (
+            f"{name}: {sample} was generated by version {versions[0]}, "
+            f"the minimum is {min_version}"
+        )
     reward = sample.replace("-s", "-r")
     if not result["score"].endswith(f".{reward}"):
-        yield f"{name}: score of {sample} is of another call: {result['score']}"
+        yield f"{name}: score of {sample} belongs to another call: {result['score']}"
 
 
-def _of_calls(history):
+def _call_violations(history):
     for call in history.calls:
         runs = history.runs.get(call.request_id, 0)
         if call.path.startswith("/once/") and runs > 1:
             yield f"call {call.request_id} ran {runs} times"
         if call.status == 503 and call.path.startswith("/once/") and runs:
-            yield f"call {call.request_id} was refused and ran"
-        if call.status == 200 and call.body != b"answer to " + _body_of(call):
-            yield f"call {call.request_id} got another answer: {call.body!r}"
+            yield f"call {call.request_id} was refused but ran"
+        if call.status == 200 and call.body != b"answer to " + _request_body(call):
+            yield f"call {call.request_id} got a wrong answer: {call.body!r}"
 
 
-def _body_of(call):
+def _request_body(call):
     return call.request_id.encode()
 
 
-def _of_keyed(history):
+def _keyed_request_violations(history):
     for seen in history.keyed:
         runs = history.runs.get(seen.key, 0)
-        told = [outcome for outcome, _ in seen.outcomes]
+        outcome_kinds = [outcome for outcome, _ in seen.outcomes]
         if runs > 1:
             yield f"key {seen.key} ran {runs} times"
-        if runs and told and set(told) == {KeyedOutcome.NOT_RUN}:
-            yield f"key {seen.key} was told not to have run and ran"
-        if KeyedOutcome.ANSWERED in told and not runs:
-            yield f"key {seen.key} was answered and never ran"
+        if runs and outcome_kinds and set(outcome_kinds) == {KeyedOutcome.NOT_RUN}:
+            yield f"key {seen.key} was reported as not run but ran"
+        if KeyedOutcome.ANSWERED in outcome_kinds and not runs:
+            yield f"key {seen.key} was answered but never ran"
         for outcome, body in seen.outcomes:
             whole = b"answer to " + seen.key.encode()
             if outcome is KeyedOutcome.ANSWERED and body != whole:
-                yield f"key {seen.key} got another answer: {body!r}"
+                yield f"key {seen.key} got a wrong answer: {body!r}"
 
 
-def _of_orders(history):
+def _order_violations(history):
     by_engine = defaultdict(list)
     for at, engine, holder, fence in sorted(history.orders):
         by_engine[engine].append((at, holder, fence))
     for engine, orders in by_engine.items():
         for (at, holder, fence), (later, other, newer) in pairwise(orders):
             if newer < fence:
-                yield f"{engine}: token {newer} after {fence}"
+                yield f"{engine}: fencing token {newer} after {fence}"
             if holder != other and newer == fence:
-                yield f"{engine}: {holder} and {other} with one token"
+                yield f"{engine}: {holder} and {other} used the same fencing token"
             if holder != other and later - at < ORDER_LEASE_S / 2:
-                yield f"{engine}: {other} {later - at:.2f} s after {holder}"
+                yield f"{engine}: order of {other} {later - at:.2f} s after {holder}"
 
 
-def _of_late_arrivals(history):
+def _late_sample_violations(history):
     ended = {
         sample: batch.ended_at
         for batch in history.batches.values()
@@ -212,24 +226,27 @@
     }
     for at, request_id in history.arrivals:
         end = ended.get(request_id)
-        if end is not None and at > end + CANCEL_S:
-            yield f"sample {request_id} was sent {at - end:.1f} s after its end"
+        if end is not None and at > end + CANCEL_LIMIT_S:
+            yield f"sample {request_id} was sent {at - end:.1f} s after its batch ended"
 
 
-def _of_crashes(history):
-    for content, moments in history.crashes.items():
+def _crash_violations(history):
+    for content, run_times in history.crashes.items():
         name = f"request {content!r}"
-        if len(moments) > MOST_RUNS:
-            yield f"{name} was run {len(moments)} times"
-        if len(moments) <= MOST_CRASHES:
+        if len(run_times) > MAX_CRASHING_RUNS:
+            yield f"{name} was run {len(run_times)} times"
+        if len(run_times) <= MAX_CRASHED_ENDPOINTS:
             continue
-        told = max(sorted(moments)[MOST_CRASHES - 1], history.healed_at) + TOLD_S
-        late = sum(at > told for at in moments)
-        if late > MOST_TRIES:
-            yield f"{name} was run {late} times more after three endpoints had ended"
+        propagated_at = (
+            max(sorted(run_times)[MAX_CRASHED_ENDPOINTS - 1], history.recovered_at)
+            + PROPAGATION_LIMIT_S
+        )
+        late = sum(at > propagated_at for at in run_times)
+        if late > MAX_RETRIES:
+            yield f"{name} was run {late} more times after three endpoints had crashed"
 
 
-def _of_revisions(history):
+def _revision_violations(history):
     newest: dict[tuple[str, int], int] = {}
     for host, start, revision in history.revisions:
         key = (host, start)
--- a/soak/keyed.py
+++ b/soak/keyed.py
@@ -1,4 +1,4 @@
-"""Callers of the own interface, whose keyed requests may run once."""
+"""Callers of the RPC interface, whose keyed requests may run at most once."""
 
 import asyncio
 import itertools
@@ -14,14 +14,14 @@
 from outside.own_interface import client
 from soak.history import KeyedOutcome, KeyedSeen
 
-CALL_LIMIT_S = 4.0
-"""Time after which a caller takes what it is told for final."""
+CALL_TIMEOUT_S = 4.0
+"""Time after which a caller takes the reported outcome as final."""
 
 PAUSE_S = 0.1
 
 
 class KeyedCaller:
-    """Makes keyed calls, each through any of the hosts, and asks about some again."""
+    """Makes keyed calls through random hosts and repeats some of them."""
 
     def __init__(self, site, history, rng):
         self._site = site
@@ -30,10 +30,10 @@
         self.served = []
         self.failed = []
 
-    async def run(self, over):
-        """Call until an event is set."""
+    async def run(self, stop_event):
+        """Make calls until `stop_event` is set."""
         for _ in itertools.count():
-            if over.is_set():
+            if stop_event.is_set():
                 return
             seen = KeyedSeen(new_key())
             self._history.keyed.append(seen)
@@ -43,7 +43,7 @@
 
     async def _ask(self, seen):
         hosts = self._rng.sample(self._site.hosts, k=2)
-        async with client(self._site, hosts=hosts, timeout_s=CALL_LIMIT_S) as caller:
+        async with client(self._site, hosts=hosts, timeout_s=CALL_TIMEOUT_S) as caller:
             try:
                 answer = await caller.call("desk", seen.key.encode(), key=seen.key)
             except NotRunError:
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, cuts, silences or resets connections."""
+"""A TCP proxy on loopback that can delay, drop or refuse traffic."""
 
 import asyncio
 from contextlib import suppress
@@ -9,19 +9,19 @@
 
 
 class LinkMode(Enum):
-    """What happens to the bytes of a link."""
+    """What the proxy does with received bytes."""
 
     OPEN = "open"
     DELAYED = "delayed"
     SILENT = "silent"
-    """Nothing passes, and nobody is told."""
+    """Bytes are dropped in both directions, and connections stay open."""
 
     NO_REPLIES = "no_replies"
-    """Requests pass, replies do not."""
+    """Requests are forwarded, replies are dropped."""
 
 
 class Proxy:
-    """Passes connections on to one address."""
+    """Forwards connections to one address."""
 
     def __init__(self, target, delay_s=0.15):
         self.mode = LinkMode.OPEN
@@ -33,7 +33,7 @@
         self._tasks = set()
 
     async def start(self):
-        """Listen, on a free port of the loopback interface the first time."""
+        """Listen on loopback: first on a free port, after a restart on the same one."""
         _, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(
             self._accept, "127.0.0.1", int(port or 0)
@@ -50,12 +50,12 @@
         self.reset_all()
 
     def refuse(self):
-        """Close all connections and refuse new ones until it is started again."""
+        """Reset all connections and refuse new ones until the next `start`."""
         self._server.close()
         self.reset_all()
 
     def reset_all(self):
-        """Reset all open connections; new ones work as the mode says."""
+        """Reset all open connections; new ones are treated according to the mode."""
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -69,15 +69,15 @@
             writer.transport.abort()
             return
         self._writers |= {writer, upstream_writer}
-        self._run(self._pass(reader, upstream_writer, is_reply=False))
-        self._run(self._pass(upstream_reader, writer, is_reply=True))
+        self._run(self._forward(reader, upstream_writer, is_reply=False))
+        self._run(self._forward(upstream_reader, writer, is_reply=True))
 
     def _run(self, work):
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _pass(self, reader, writer, is_reply):
+    async def _forward(self, reader, writer, is_reply):
         with suppress(OSError):
             while chunk := await reader.read(CHUNK_BYTES):
                 match self.mode:
--- a/soak/workspaces.py
+++ b/soak/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces of a soak: one key that clients show, and the platform's duties."""
+"""Workspaces of a soak run: API keys that change, and the platform's duty interface."""
 
 import asyncio
 import itertools
@@ -12,32 +12,32 @@
 OTHER_WORKSPACE = "south"
 OTHER_KEY = "soak-key-of-the-south"
 OTHER_CALLER = "caller2"
-"""The caller of the other workspace, whose key stays."""
+"""Name of the caller in the other workspace, whose key never changes."""
 
 CLIENTS = ("caller", "first", "second")
-"""How the names of requests and samples of clients with a key begin."""
+"""Prefixes of the ids of requests and samples from clients with an API key."""
 
 
 class SoakWorkspaces:
-    """The keys in force and those that were taken away, and what is seen of both."""
+    """Valid and revoked API keys of the workspaces, and checks of their use."""
 
     def __init__(self, run):
         self._run = run
-        self._numbers = itertools.count()
-        self._keys = [self._mint()]
-        self._former = []
+        self._key_numbers = itertools.count()
+        self._keys = [self._new_key()]
+        self._revoked_keys = []
         self.platform = DutyStandIn(LEASE_S)
 
-    def _mint(self):
-        return f"soak-key-{next(self._numbers)}"
+    def _new_key(self):
+        return f"soak-key-{next(self._key_numbers)}"
 
     async def start(self):
-        """Start the platform's interface; return the settings of hosts for it."""
+        """Start the duty interface of the platform; return the host settings for it."""
         await self.platform.start()
         return self.platform.settings(window_s=WINDOW_S, late_s=LATE_S)
 
     def document(self):
-        """Return what a configuration says of workspaces."""
+        """Return the workspaces as a configuration lists them."""
         return [
             {"name": WORKSPACE, "api_keys": self._keys},
             {"name": OTHER_WORKSPACE, "api_keys": [OTHER_KEY]},
@@ -45,43 +45,46 @@
 
     @property
     def key(self):
-        """The key that clients show."""
+        """The API key that clients send."""
         return self._keys[-1]
 
     async def replace_key(self, seconds):
-        """Add a key, let clients show it, and take the former ones away."""
-        self._keys = [*self._keys, self._mint()]
+        """Add a key, let clients send it, and revoke the previous ones after a time."""
+        self._keys = [*self._keys, self._new_key()]
         self._run.put_configuration()
         self._run.site.key = self.key
         await asyncio.sleep(seconds / 2)
-        self._former += self._keys[:-1]
+        self._revoked_keys += self._keys[:-1]
         self._keys = self._keys[-1:]
         self._run.put_configuration()
 
-    async def broken(self, site):
-        """Return the promises of workspaces and duties that were broken."""
+    async def find_violations(self, site):
+        """Return a sentence for each violated guarantee of workspaces and duties."""
         found = [f"duty: {each}" for each in self.platform.faults]
-        found += list(self._told_wrongly(site))
-        found += await self._let_in(site)
+        found += list(self._header_violations(site))
+        found += await self._revoked_key_violations(site)
         if not self.platform.usage:
             found.append("usage: no window was reported")
         return found
 
-    def _told_wrongly(self, site):
+    def _header_violations(self, site):
         for endpoint in site.engines + site.scorers:
             for request_id, headers in endpoint.headers:
                 if not request_id.startswith(CLIENTS):
                     continue
-                told = headers.getall("X-Tenant", [])
-                if told != _expected(request_id):
-                    yield f"workspace: {endpoint.id} was told {told} of {request_id}"
+                tenants = headers.getall("X-Tenant", [])
+                if tenants != _expected_tenants(request_id):
+                    yield (
+                        f"workspace: {endpoint.id} got tenants {tenants} "
+                        f"for {request_id}"
+                    )
                 if "Authorization" in headers:
-                    yield f"workspace: {endpoint.id} got the key of {request_id}"
+                    yield f"workspace: {endpoint.id} got the API key of {request_id}"
 
-    async def _let_in(self, site):
+    async def _revoked_key_violations(self, site):
         found = []
         for host in site.hosts:
-            for key in self._former:
+            for key in self._revoked_keys:
                 status, _, _ = await site.call(
                     host,
                     "POST",
@@ -96,7 +99,7 @@
         return found
 
     def usage_lines(self):
-        """Return a table of what was reported, for a person."""
+        """Return the lines of a table of the reported usage."""
         lines = ["window      workspace  requests"]
         for window, counts in sorted(self.platform.usage.items()):
             for name, count in sorted(counts.items()):
@@ -104,8 +107,8 @@
         return lines
 
 
-def _expected(request_id):
-    """Return what endpoints must be told of whose request it is."""
+def _expected_tenants(request_id):
+    """Return the ``X-Tenant`` values that endpoints must receive with a request."""
     if "-r" in request_id:
-        return []  # reward calls are nobody's
+        return []  # reward calls belong to no workspace
     return [OTHER_WORKSPACE if request_id.startswith(OTHER_CALLER) else WORKSPACE]
--- a/tests/soak/test_history.py
+++ b/tests/soak/test_history.py
@@ -1,4 +1,4 @@
-"""Each checker of the soak finds a bad history, and none a good one."""
+"""Each check of the soak reports its violation, and none reports a good history."""
 
 import pytest
 from soak.history import (
@@ -33,7 +33,7 @@
     return seen
 
 
-def test_a_good_history_breaks_nothing():
+def test_a_good_history_has_no_violations():
     good = history(
         result(),
         result("b1-s1"),
@@ -81,29 +81,29 @@
 
 BAD = {
     "a key runs twice": (keyed(WHOLE, runs=2), "ran 2 times"),
-    "a key that was told not to have run": (keyed(NOT_RUN), "told not to have run"),
+    "a key that ran is reported as not run": (keyed(NOT_RUN), "reported as not run"),
     "a key that never ran is answered": (keyed(WHOLE, runs=0), "never ran"),
     "a key gets another answer": (
         keyed((KeyedOutcome.ANSWERED, b"no")),
-        "another answer",
+        "wrong answer",
     ),
     "a position changes": (changed_position(), "position 0 changed"),
     "a batch is lost": (lost(), "not found"),
-    "a sample stands twice": (history(result(), result()), "two positions"),
+    "a sample is at two positions": (history(result(), result()), "two positions"),
     "a sample of another batch": (history(result("b2-s0")), "another batch"),
     "an event is missing": (
         history(result(text="b1-s0-0-v1")),
-        "not whole",
+        "wrong events",
     ),
-    "an event stands twice": (
+    "an event is repeated": (
         history(result(text="b1-s0-0-v1\nb1-s0-0-v1\nb1-s0-1-v1")),
-        "not whole",
+        "wrong events",
     ),
-    "a version is not told": (
+    "a version is not reported": (
         history(result(text="b1-s0-0-v1\nb1-s0-1-v2")),
-        "was made by",
+        "reported are",
     ),
-    "weights are too old": (history(result(), min_version=2), "allowed is 2"),
+    "weights are too old": (history(result(), min_version=2), "minimum is 2"),
     "a score of another call": (history(result(score="scorer.b1-r9")), "score"),
     "a call runs twice": (
         history(calls=[CallSeen("q1", "/once/x", 502, b"")], runs={"q1": 2}),
@@ -111,11 +111,11 @@
     ),
     "a refused call ran": (
         history(calls=[CallSeen("q1", "/once/x", 503, b"")], runs={"q1": 1}),
-        "was refused and ran",
+        "was refused but ran",
     ),
     "an answer to another call": (
         history(calls=[CallSeen("q1", "/once/x", 200, b"answer to q2")]),
-        "another answer",
+        "wrong answer",
     ),
     "an older token": (
         history(orders=[(1.0, "e1", "a", 5), (9.0, "e1", "b", 4)]),
@@ -123,26 +123,26 @@
     ),
     "two holders with one token": (
         history(orders=[(1.0, "e1", "a", 5), (9.0, "e1", "b", 5)]),
-        "one token",
+        "same fencing token",
     ),
     "two holders at once": (
         history(orders=[(1.0, "e1", "a", 5), (1.1, "e1", "b", 6)]),
         "0.10 s after",
     ),
-    "a sample is sent after the end": (late_arrival(), "after its end"),
-    "a request that crashes goes on": (
+    "a sample is sent after the end": (late_arrival(), "after its batch ended"),
+    "a crashing request is run on": (
         history(crashes={"c": [1.0, 2.0, 3.0, 6.5, 7.0, 8.0, 9.0]}),
-        "4 times more",
+        "4 more times",
     ),
-    "a request that crashes runs often": (
+    "a crashing request runs too often": (
         history(crashes={"c": [1.0] * 13}),
         "run 13 times",
     ),
-    "a request that crashes goes on once all has healed": (
-        history(crashes={"c": [1.0] * 8 + [8.5] * 4}, healed_at=5.0),
-        "4 times more",
+    "a crashing request is run on after recovery": (
+        history(crashes={"c": [1.0] * 8 + [8.5] * 4}, recovered_at=5.0),
+        "4 more times",
     ),
-    "a revision goes back": (
+    "a revision decreases": (
         history(revisions=[("h", 1, 4), ("h", 1, 3)]),
         "went back",
     ),
@@ -150,7 +150,7 @@
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_bad_history_is_found(name):
+def test_a_bad_history_has_one_violation(name):
     seen, part = BAD[name]
     found = violations(seen, EVENTS)
     assert len(found) == 1
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -1,4 +1,4 @@
-"""A short soak, and each seed that ever failed, with the cause."""
+"""Short soak runs, with each seed that has ever failed and its cause."""
 
 import asyncio
 import subprocess
@@ -9,46 +9,44 @@
 
 ROOT = Path(__file__).parents[2]
 
-SEEDS = {
-    1: "the first one that was played; it never failed",
-    123: "the last outage outlasted the clients of the soak; they now end after it",
+FIRST_SEEDS = {
+    1: "the first seed of this set; it never failed",
+    123: "the last outage outlasted the clients of the soak, which now stop after it",
 }
-"""Seeds and why they are kept."""
+"""Seeds drawn from the first set of fault kinds, and why they are kept."""
 
-
-LATER_SEEDS = {
-    820: "the first one with endpoints that start again under their name, and with "
-    "entries that cannot be read; it never failed",
+SECOND_SEEDS = {
+    820: "the first seed with endpoints that restart under their name, and with "
+    "unreadable entries; it never failed",
 }
-"""The same, drawn from more kinds of faults."""
+"""The same for the second set of fault kinds."""
 
-LATEST_SEEDS = {
-    900: "the first one with requests that crash endpoints and suspended hosts",
+THIRD_SEEDS = {
+    900: "the first seed with requests that crash endpoints, and with suspended hosts",
 }
-"""The same, drawn from these kinds as well."""
+"""The same for the third set of fault kinds."""
 
 DUTY_SEEDS = {
-    1: "the first one with workspaces and duties; it never failed",
+    1: "the first seed with workspaces and duties; it never failed",
 }
-"""Seeds of keys that change, and of hosts that lose a duty in the middle of it."""
-
+"""The same for changes of API keys, and faults of hosts that hold a duty."""
 
-KEPT = [
-    *(("first", seed) for seed in SEEDS),
-    *(("second", seed) for seed in LATER_SEEDS),
-    *(("third", seed) for seed in LATEST_SEEDS),
+KEPT_SEEDS = [
+    *(("first", seed) for seed in FIRST_SEEDS),
+    *(("second", seed) for seed in SECOND_SEEDS),
+    *(("third", seed) for seed in THIRD_SEEDS),
     *(("duties", seed) for seed in DUTY_SEEDS),
 ]
-"""The kinds that a seed was drawn from, and the seed."""
+"""Pairs of a set of fault kinds and a seed."""
 
 
 @pytest.mark.timeout(180)
-@pytest.mark.parametrize(("kinds", "seed"), KEPT)
-async def test_the_promises_hold(kinds, seed):
-    await play(seed, "--kinds", kinds)
+@pytest.mark.parametrize(("kinds", "seed"), KEPT_SEEDS)
+async def test_a_kept_seed_breaks_no_guarantee(kinds, seed):
+    await run_soak(seed, "--kinds", kinds)
 
 
-async def play(seed, *options):
+async def run_soak(seed, *options):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
