--- a/bench/explain.py
+++ b/bench/explain.py
@@ -94,23 +94,23 @@
         try:
             for cause_failure in (refuse, lose, crash, delay):
                 print(f"\n== {(cause_failure.__doc__ or '').partition(';')[0]}")
-                wanted = await cause_failure(site)
+                identifier = await cause_failure(site)
                 await asyncio.sleep(0.2)
                 logs = [str(host.log_path) for host in site.hosts]
-                print(f"$ bankrudder find {wanted} logs/*.log")
-                text = await asyncio.to_thread(_find_output, wanted, logs)
+                print(f"$ bankrudder find {identifier} logs/*.log")
+                text = await asyncio.to_thread(_find_output, identifier, logs)
                 print(text, end="")
                 if not text:
-                    missing.append(wanted)
+                    missing.append(identifier)
         finally:
             await site.stop()
     return missing
 
 
-def _find_output(wanted, logs):
+def _find_output(identifier, logs):
     text = io.StringIO()
     with contextlib.redirect_stdout(text):
-        command(["find", wanted, *logs])
+        command(["find", identifier, *logs])
     return text.getvalue()
 
 
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -36,8 +36,8 @@
 from soak.proxy import Proxy  # noqa: E402
 from soak.workspaces import OTHER_CALLER, OTHER_KEY, SoakWorkspaces  # noqa: E402
 
-EVENTS = 12
-SAMPLES = 8
+EVENTS_PER_SAMPLE = 12
+SAMPLES_PER_STEP = 8
 EVENT_GAP_S = 0.03
 SLOW_EVENT_GAP_S = 0.15
 """Time between two events of a sample, for even and for odd seeds. Short gaps give many
@@ -79,7 +79,7 @@
             folder,
             hosts,
             engines,
-            EVENTS,
+            EVENTS_PER_SAMPLE,
             rpc=RPC,
             min_readers=MIN_READERS,
             suspendable=int(has_suspension),
@@ -138,7 +138,7 @@
             for trainer in trainers:
                 await trainer.check_results_kept()
             self._collect()
-            found = violations(self.history, EVENTS)
+            found = violations(self.history, EVENTS_PER_SAMPLE)
             if self.workspaces is not None:
                 found += await self.workspaces.find_violations(self.site)
             return found + self._recovery_violations(callers, trainers, recovery_time)
@@ -225,8 +225,8 @@
             return random.Random(self._rng.random())
 
         trainers = [
-            Trainer(self.site, self.history, rng(), "first", SAMPLES, True),
-            Trainer(self.site, self.history, rng(), "second", SAMPLES, False),
+            Trainer(self.site, self.history, rng(), "first", SAMPLES_PER_STEP, True),
+            Trainer(self.site, self.history, rng(), "second", SAMPLES_PER_STEP, False),
         ]
         callers: list[Caller | KeyedCaller] = [
             Caller(self.site, self.history, rng(), name, self._api_key_of(name))
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -62,73 +62,77 @@
             document["items"][0]["body"] = base64.b64encode(CRASHING).decode()
             # The path distinguishes the sample from crashing samples of other steps.
             document["items"][0]["path"] += f"-{self._name}{step}"
-        seen = BatchSeen(
+        record = BatchSeen(
             f"{self._name}{step}",
             min_version,
             [item["id"] for item in document["items"]],
         )
-        self._history.batches[seen.batch_id] = seen
-        if not await self._submit(seen, document, stop_event):
+        self._history.batches[record.batch_id] = record
+        if not await self._submit(record, document, stop_event):
             return
         began = time.monotonic()
-        while len(seen.positions) < self._samples:
+        while len(record.positions) < self._samples:
             if time.monotonic() > began + STEP_TIMEOUT_S:
                 self.timed_out_step_count += 1
                 break
-            await self._read(seen)
+            await self._read(record)
             await asyncio.sleep(READ_PAUSE_S)
         else:
             self.completed_step_count += 1
-        await self._end(seen)
+        await self._end(record)
 
-    async def _submit(self, seen, document, stop_event):
+    async def _submit(self, record, document, stop_event):
         body = json.dumps(document).encode()
         while not stop_event.is_set():
-            status, _ = await self._ask(submission(seen.batch_id, body))
+            status, _ = await self._ask(submission(record.batch_id, body))
             if status == 202:
-                seen.was_accepted = True
+                record.was_accepted = True
                 return True
             if status != 503:
-                seen.was_refused_always = False
+                record.was_refused_always = False
             await asyncio.sleep(0.1)
         return False
 
-    async def _read(self, seen):
+    async def _read(self, record):
         # Some reads start at an earlier position, whose result must not have changed.
-        after = len(seen.positions)
+        after = len(record.positions)
         if after and self._rng.random() < 0.2:
             after = self._rng.randrange(after)
-        status, body = await self._ask(reading(seen.batch_id, after, wait_ms=300))
+        status, body = await self._ask(reading(record.batch_id, after, wait_ms=300))
         if status == 200:
             page = json.loads(body)
             if page["total_count"] != self._samples:
-                seen.lost.append(f"total {page['total_count']}")
-            seen.note_page(after, page)
+                record.lost.append(
+                    f"total count {page['total_count']}, expected {self._samples}"
+                )
+            record.note_page(after, page)
         elif status == 404:
-            seen.lost.append("not found after it was accepted")
+            record.lost.append("not found after it was accepted")
 
-    async def _end(self, seen):
+    async def _end(self, record):
         for _ in range(200):
-            status, _ = await self._ask(ending(seen.batch_id))
+            status, _ = await self._ask(ending(record.batch_id))
             if status == 200:
-                seen.ended_at = time.monotonic()
+                record.ended_at = time.monotonic()
                 return
             await asyncio.sleep(0.1)
 
     async def check_results_kept(self):
         """Read all results of every batch of this trainer once more."""
-        for seen in self._history.batches.values():
-            if not seen.batch_id.startswith(self._name) or not seen.was_accepted:
+        for record in self._history.batches.values():
+            if not record.batch_id.startswith(self._name) or not record.was_accepted:
                 continue
-            status, body = await self._ask(reading(seen.batch_id))
+            status, body = await self._ask(reading(record.batch_id))
             if status != 200:
-                seen.lost.append(f"status {status} at the end")
+                record.lost.append(f"status {status} for the last read")
                 continue
             page = json.loads(body)
-            known = len(seen.positions)
-            seen.note_page(0, page)
+            known = len(record.positions)
+            record.note_page(0, page)
             if page["next"] < known:
-                seen.lost.append(f"{page['next']} of {known} results at the end")
+                record.lost.append(
+                    f"{page['next']} of {known} results left at the last read"
+                )
 
     async def _ask(self, call):
         host = self._rng.choice(self._site.hosts)
@@ -161,9 +165,9 @@
             ) as session:
                 for turn in range(self._rng.randint(1, 20)):
                     request_id = f"{self._name}-{number}-{turn}"
-                    is_served = await self._call(session, host, request_id)
+                    was_served = await self._call(session, host, request_id)
                     await asyncio.sleep(CALL_PAUSE_S)
-                    if not is_served:
+                    if not was_served:
                         break
 
     def _credentials(self):
--- a/soak/history.py
+++ b/soak/history.py
@@ -188,19 +188,19 @@
 
 
 def _keyed_request_violations(history):
-    for seen in history.keyed:
-        runs = history.runs.get(seen.key, 0)
-        outcome_kinds = [outcome for outcome, _ in seen.outcomes]
+    for record in history.keyed:
+        runs = history.runs.get(record.key, 0)
+        outcome_kinds = [outcome for outcome, _ in record.outcomes]
         if runs > 1:
-            yield f"key {seen.key} ran {runs} times"
+            yield f"key {record.key} ran {runs} times"
         if runs and outcome_kinds and set(outcome_kinds) == {KeyedOutcome.NOT_RUN}:
-            yield f"key {seen.key} was reported as not run but ran"
+            yield f"key {record.key} was reported as not run but ran"
         if KeyedOutcome.ANSWERED in outcome_kinds and not runs:
-            yield f"key {seen.key} was answered but never ran"
-        for outcome, body in seen.outcomes:
-            whole = b"answer to " + seen.key.encode()
-            if outcome is KeyedOutcome.ANSWERED and body != whole:
-                yield f"key {seen.key} got a wrong answer: {body!r}"
+            yield f"key {record.key} was answered but never ran"
+        for outcome, body in record.outcomes:
+            expected_body = b"answer to " + record.key.encode()
+            if outcome is KeyedOutcome.ANSWERED and body != expected_body:
+                yield f"key {record.key} got a wrong answer: {body!r}"
 
 
 def _order_violations(history):
--- a/soak/keyed.py
+++ b/soak/keyed.py
@@ -35,17 +35,17 @@
         for _ in itertools.count():
             if stop_event.is_set():
                 return
-            seen = KeyedSeen(new_key())
-            self._history.keyed.append(seen)
+            record = KeyedSeen(new_key())
+            self._history.keyed.append(record)
             for _ in range(self._rng.choice([1, 1, 2, 3])):
-                await self._ask(seen)
+                await self._ask(record)
                 await asyncio.sleep(PAUSE_S)
 
-    async def _ask(self, seen):
+    async def _ask(self, record):
         hosts = self._rng.sample(self._site.hosts, k=2)
         async with client(self._site, hosts=hosts, timeout_s=CALL_TIMEOUT_S) as caller:
             try:
-                answer = await caller.call("desk", seen.key.encode(), key=seen.key)
+                answer = await caller.call("desk", record.key.encode(), key=record.key)
             except NotRunError:
                 outcome, body = KeyedOutcome.NOT_RUN, b""
             except FailedError:
@@ -54,6 +54,6 @@
                 outcome, body = KeyedOutcome.UNKNOWN, b""
             else:
                 outcome, body = KeyedOutcome.ANSWERED, answer.data
-        seen.outcomes.append((outcome, body))
+        record.outcomes.append((outcome, body))
         is_answered = outcome is KeyedOutcome.ANSWERED
         (self.served if is_answered else self.failed).append(time.monotonic())
--- a/soak/workspaces.py
+++ b/soak/workspaces.py
@@ -5,8 +5,8 @@
 
 from outside.duties import DutyStandIn
 
-LEASE_S = 1.0
-WINDOW_S = 1.0
+DUTY_LEASE_S = 1.0
+USAGE_WINDOW_S = 1.0
 LATE_S = 4.0
 WORKSPACE = "north"
 OTHER_WORKSPACE = "south"
@@ -14,7 +14,7 @@
 OTHER_CALLER = "caller2"
 """Name of the caller in the other workspace, whose key never changes."""
 
-CLIENTS = ("caller", "first", "second")
+CLIENT_ID_PREFIXES = ("caller", "first", "second")
 """Prefixes of the ids of requests and samples from clients with an API key."""
 
 
@@ -26,7 +26,7 @@
         self._key_numbers = itertools.count()
         self._keys = [self._new_key()]
         self._revoked_keys = []
-        self.platform = DutyStandIn(LEASE_S)
+        self.platform = DutyStandIn(DUTY_LEASE_S)
 
     def _new_key(self):
         return f"soak-key-{next(self._key_numbers)}"
@@ -34,7 +34,7 @@
     async def start(self):
         """Start the duty interface of the platform; return the host settings for it."""
         await self.platform.start()
-        return self.platform.settings(window_s=WINDOW_S, late_s=LATE_S)
+        return self.platform.settings(window_s=USAGE_WINDOW_S, late_s=LATE_S)
 
     def document(self):
         """Return the workspaces as a configuration lists them."""
@@ -70,7 +70,7 @@
     def _header_violations(self, site):
         for endpoint in site.engines + site.scorers:
             for request_id, headers in endpoint.headers:
-                if not request_id.startswith(CLIENTS):
+                if not request_id.startswith(CLIENT_ID_PREFIXES):
                     continue
                 tenants = headers.getall("X-Tenant", [])
                 if tenants != _expected_tenants(request_id):
