--- a/soak/clients.py
+++ b/soak/clients.py
@@ -12,7 +12,7 @@
 from outside.crashing import CRASHING
 from outside.site import HOST_NAME, batch
 from outside.trainer_calls import ending, reading, submission
-from soak.history import BatchSeen, CallSeen
+from soak.history import BatchObservation, CallObservation
 
 READ_PAUSE_S = 0.1
 STEP_TIMEOUT_S = 12.0
@@ -62,7 +62,7 @@
             document["items"][0]["body"] = base64.b64encode(CRASHING).decode()
             # The path distinguishes the sample from crashing samples of other steps.
             document["items"][0]["path"] += f"-{self._name}{step}"
-        record = BatchSeen(
+        record = BatchObservation(
             f"{self._name}{step}",
             min_version,
             [item["id"] for item in document["items"]],
@@ -195,7 +195,7 @@
                 status, body = response.status, await response.read()
         except CONNECTION_ERRORS:
             status, body = 0, b""
-        self._history.calls.append(CallSeen(request_id, path, status, body))
+        self._history.calls.append(CallObservation(request_id, path, status, body))
         times = self.served if status == 200 else self.failed
         times.append(time.monotonic())
         return status == 200
--- a/soak/history.py
+++ b/soak/history.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class BatchSeen:
+class BatchObservation:
     """One batch as its trainer observed it.
 
     ``positions`` holds the first result read at each position, and ``lost`` a sentence
@@ -56,7 +56,7 @@
 
 
 @dataclass
-class CallSeen:
+class CallObservation:
     """One request of a caller; ``status`` is 0 if no response arrived."""
 
     request_id: str
@@ -75,7 +75,7 @@
 
 
 @dataclass
-class KeyedSeen:
+class KeyedCallObservation:
     """One idempotency key and the outcomes of its calls, in order."""
 
     key: str
--- a/soak/keyed.py
+++ b/soak/keyed.py
@@ -12,7 +12,7 @@
     NotRunError,
 )
 from outside.own_interface import client
-from soak.history import KeyedOutcome, KeyedSeen
+from soak.history import KeyedCallObservation, KeyedOutcome
 
 CALL_TIMEOUT_S = 4.0
 """Time after which a caller takes the reported outcome as final."""
@@ -35,7 +35,7 @@
         for _ in itertools.count():
             if stop_event.is_set():
                 return
-            record = KeyedSeen(new_key())
+            record = KeyedCallObservation(new_key())
             self._history.keyed.append(record)
             for _ in range(self._rng.choice([1, 1, 2, 3])):
                 await self._ask(record)
--- a/src/bankrudder/logs/_limit.py
+++ b/src/bankrudder/logs/_limit.py
@@ -20,7 +20,7 @@
 _WARNING_LEVELS = frozenset({"warning", "error", "critical"})
 
 
-class LineLimit:
+class LogRateLimiter:
     """A structlog processor that limits the lines of each event per second.
 
     It comes before the renderer in the chain of processors. All lines are counted,
--- a/src/bankrudder/logs/_setup.py
+++ b/src/bankrudder/logs/_setup.py
@@ -11,7 +11,7 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-from bankrudder.logs._limit import LineLimit
+from bankrudder.logs._limit import LogRateLimiter
 from bankrudder.logs._sink import NonBlockingSink
 from bankrudder.world import Clock, SystemClock
 
@@ -51,7 +51,7 @@
     *,
     clock: Clock | None = None,
     stream: TextIO | NonBlockingSink | None = None,
-    limit: LineLimit | None = None,
+    limit: LogRateLimiter | None = None,
     host: str = "",
 ) -> None:
     """Write the log lines of this package and of its libraries to one stream.
@@ -70,7 +70,7 @@
         Source of the timestamps, the host's clock by default.
     stream : text file or NonBlockingSink, optional
         Destination of the lines, standard error by default.
-    limit : LineLimit, optional
+    limit : LogRateLimiter, optional
         Rate limit for the lines of this package; none by default.
     host : str
         Name of the host, written with each line if it is not empty.
--- a/src/bankrudder/node/_instruments.py
+++ b/src/bankrudder/node/_instruments.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from bankrudder.logs import LineLimit
+from bankrudder.logs import LogRateLimiter
 from bankrudder.observe import Metrics, Sample
 from bankrudder.relay import (
     Malformed,
@@ -21,7 +21,7 @@
 class Instruments:
     """What a node measures itself; levels are gathered by sources of their own."""
 
-    def __init__(self, metrics: Metrics, lines: LineLimit):
+    def __init__(self, metrics: Metrics, lines: LogRateLimiter):
         self._metrics = metrics
         self._lines = lines
         self._requests = metrics.histogram(
@@ -35,7 +35,7 @@
         metrics.add_source(self._line_samples)
 
     @classmethod
-    def from_config(cls, host: HostId, lines: LineLimit) -> "Instruments":
+    def from_config(cls, host: HostId, lines: LogRateLimiter) -> "Instruments":
         """Make the instruments of the node on `host`."""
         return cls(Metrics.from_config(host), lines)
 
--- a/src/bankrudder/node/_main.py
+++ b/src/bankrudder/node/_main.py
@@ -13,9 +13,9 @@
 
 from bankrudder.exceptions import InvalidError
 from bankrudder.logs import (
-    LineLimit,
     LogFormat,
     LogLevel,
+    LogRateLimiter,
     NonBlockingSink,
     configure_logging,
 )
@@ -44,7 +44,7 @@
     """
     arguments = _parser().parse_args(argv)
     clock = SystemClock()
-    lines = LineLimit(clock)
+    lines = LogRateLimiter(clock)
     sink = NonBlockingSink(sys.stdout.fileno())
     configure_logging(LogFormat.JSON, LogLevel.INFO, stream=sink, limit=lines)
     path = Path(arguments.settings)
@@ -87,7 +87,7 @@
     path: Path,
     make_adapter: Callable[[NodeSettings], Adapter],
     clock: Clock,
-    lines: LineLimit,
+    lines: LogRateLimiter,
 ) -> None:
     node = Node.from_config(settings, make_adapter(settings), clock, lines)
     loop = asyncio.get_running_loop()
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -8,11 +8,11 @@
 import structlog
 
 from bankrudder.feeds import FeedRole
-from bankrudder.logs import LineLimit
+from bankrudder.logs import LogRateLimiter
 from bankrudder.node._adapter import Adapter
 from bankrudder.node._parts import Parts
 from bankrudder.node._settings import NodeSettings
-from bankrudder.observe import ObserveServer, Sample
+from bankrudder.observe import MonitoringServer, Sample
 from bankrudder.world import Clock
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        lines: LogRateLimiter,
     ):
         self._settings = settings
         self._adapter = adapter
@@ -65,7 +65,7 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        lines: LogRateLimiter,
     ) -> Self:
         """Make a node that `run` starts."""
         return cls(settings, adapter, clock, lines)
@@ -126,14 +126,14 @@
         await self._stop_asked.wait()
         await self._drain()
 
-    def _make_metrics_server(self) -> ObserveServer | None:
+    def _make_metrics_server(self) -> MonitoringServer | None:
         if self._settings.metrics_address is None:
             return None
-        return ObserveServer.from_config(
+        return MonitoringServer.from_config(
             self._settings.metrics_address,
             self._parts.instruments.metrics,
             lambda: self._parts.gateway.is_ready,
-            spans_of=self._parts.tracer.spans_of,
+            find_spans=self._parts.tracer.find_spans,
         )
 
     def _make_interface(self) -> "OwnInterface | None":
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_parts.py
@@ -26,7 +26,7 @@
 )
 from bankrudder.fleet import EndpointDirectory
 from bankrudder.leases import repeat_on_duty
-from bankrudder.logs import LineLimit
+from bankrudder.logs import LogRateLimiter
 from bankrudder.node._adapter import Adapter
 from bankrudder.node._feeds import RowMeanings
 from bankrudder.node._gateway import Gateway
@@ -79,7 +79,7 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        lines: LogRateLimiter,
     ):
         self._settings = settings
         self._clock = clock
--- a/src/bankrudder/observe/__init__.py
+++ b/src/bankrudder/observe/__init__.py
@@ -1,7 +1,7 @@
 """Observability of a node: logs, metrics, health checks and traces."""
 
 from bankrudder.logs import LogFormat, LogLevel, configure_logging
-from bankrudder.observe._http import ObserveServer
+from bankrudder.observe._http import MonitoringServer
 from bankrudder.observe._metrics import (
     LATENCY_BUCKETS_S,
     Counter,
@@ -33,8 +33,8 @@
     "LogLevel",
     "MetricKind",
     "Metrics",
+    "MonitoringServer",
     "NoTraceExport",
-    "ObserveServer",
     "OtlpTraceExport",
     "ProcessUsage",
     "Sample",
--- a/src/bankrudder/observe/_http.py
+++ b/src/bankrudder/observe/_http.py
@@ -13,7 +13,7 @@
 """Time that responses in progress get when the server stops."""
 
 
-class ObserveServer:
+class MonitoringServer:
     """Serves ``/metrics``, ``/healthz``, ``/readyz`` and ``/spans/ID``.
 
     Parameters
@@ -26,7 +26,7 @@
         Returns whether the node accepts calls; if not, ``/readyz`` returns 503.
     ssl_context : ssl.SSLContext, optional
         Without it, the server uses plain HTTP.
-    spans_of : callable, optional
+    find_spans : callable, optional
         Returns the finished spans of a trace, request, batch or sample, as JSON. By
         default there are none.
     """
@@ -37,9 +37,9 @@
         metrics: Metrics,
         is_ready: Callable[[], bool],
         ssl_context: ssl.SSLContext | None = None,
-        spans_of: Callable[[str], Iterable[str]] = lambda _: (),
+        find_spans: Callable[[str], Iterable[str]] = lambda _: (),
     ):
-        self._spans_of = spans_of
+        self._find_spans = find_spans
         self._address = address
         self._metrics = metrics
         self._is_ready = is_ready
@@ -53,10 +53,10 @@
         metrics: Metrics,
         is_ready: Callable[[], bool],
         ssl_context: ssl.SSLContext | None = None,
-        spans_of: Callable[[str], Iterable[str]] = lambda _: (),
+        find_spans: Callable[[str], Iterable[str]] = lambda _: (),
     ) -> Self:
         """Make a server that listens on `address` once it is started."""
-        return cls(address, metrics, is_ready, ssl_context, spans_of)
+        return cls(address, metrics, is_ready, ssl_context, find_spans)
 
     @property
     def address(self) -> Address:
@@ -109,7 +109,7 @@
         return web.Response(text="ok\n")
 
     async def _get_spans(self, request: web.Request) -> web.Response:
-        spans = self._spans_of(request.match_info["id"])
+        spans = self._find_spans(request.match_info["id"])
         text = "".join(f"{span}\n" for span in spans)
         return web.Response(text=text, content_type="application/x-ndjson")
 
--- a/src/bankrudder/observe/_traces.py
+++ b/src/bankrudder/observe/_traces.py
@@ -94,7 +94,7 @@
         span.set(**attributes)
         return span
 
-    def spans_of(self, identifier: str) -> tuple[str, ...]:
+    def find_spans(self, identifier: str) -> tuple[str, ...]:
         """Return the spans of a trace that this node still keeps, as JSON.
 
         Each is an encoded `SpanRecord`, in the order in which the spans finished.
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -91,7 +91,7 @@
     ) -> pb.TraceReply:
         """Return the finished spans of one trace that this node holds."""
         self._rpc.operator_of(context)
-        spans = self._tracer.spans_of(request.trace_id)
+        spans = self._tracer.find_spans(request.trace_id)
         return pb.TraceReply(spans=spans)
 
     async def Usage(
--- a/tests/logs/test_limits.py
+++ b/tests/logs/test_limits.py
@@ -5,14 +5,14 @@
 import pytest
 import structlog
 
-from bankrudder.logs import LineLimit, NonBlockingSink
+from bankrudder.logs import LogRateLimiter, NonBlockingSink
 from bankrudder.logs._limit import INFO_LINES_PER_S, WARNING_LINES_PER_S
 from bankrudder.logs._sink import MAX_BUFFERED_BYTES
 
 
 @pytest.fixture
 def limit(hand_clock):
-    return LineLimit(hand_clock)
+    return LogRateLimiter(hand_clock)
 
 
 @pytest.fixture
--- a/tests/node/test_fault_table.py
+++ b/tests/node/test_fault_table.py
@@ -10,7 +10,7 @@
 
 import aiohttp
 import pytest
-from soak.history import BatchSeen, History, violations
+from soak.history import BatchObservation, History, violations
 
 from outside.site import FREEZE, THAW, Site, batch, until
 from outside.store import GateMode
@@ -128,7 +128,7 @@
         document = batch("b1", SAMPLES)
         self._body = json.dumps(document).encode()
         ids = [item["id"] for item in document["items"]]
-        self.seen = BatchSeen("b1", 1, ids)
+        self.seen = BatchObservation("b1", 1, ids)
 
     async def submit(self):
         await self._until(202, submission("b1", self._body))
--- a/tests/observe/test_http.py
+++ b/tests/observe/test_http.py
@@ -3,7 +3,7 @@
 import aiohttp
 import pytest
 
-from bankrudder.observe import Metrics, ObserveServer
+from bankrudder.observe import Metrics, MonitoringServer
 from bankrudder.world import Address, HostId
 
 ANY_PORT = Address("127.0.0.1:0")
@@ -18,7 +18,7 @@
 @pytest.fixture
 async def server(ready_states):
     metrics = Metrics.from_config(HostId("h1"))
-    server = ObserveServer.from_config(ANY_PORT, metrics, lambda: ready_states[-1])
+    server = MonitoringServer.from_config(ANY_PORT, metrics, lambda: ready_states[-1])
     await server.start()
     yield server
     await server.stop()
@@ -49,7 +49,7 @@
     server, ready_states
 ):
     metrics = Metrics.from_config(HostId("h2"))
-    second = ObserveServer.from_config(server.address, metrics, lambda: True)
+    second = MonitoringServer.from_config(server.address, metrics, lambda: True)
     with pytest.raises(OSError):
         await second.start()
     await second.stop()
--- a/tests/observe/test_traces.py
+++ b/tests/observe/test_traces.py
@@ -29,7 +29,7 @@
 
 
 def records_of(tracer, trace_id):
-    spans = tracer.spans_of(trace_id)
+    spans = tracer.find_spans(trace_id)
     return [msgspec.json.decode(span, type=SpanRecord) for span in spans]
 
 
@@ -72,7 +72,7 @@
         raise NotRunError(FailureReason.OVERLOADED, "passport 123")
     with pytest.raises(ValueError), tracer.span("x", span.traceparent):
         raise ValueError("passport 123")
-    assert "passport" not in "".join(tracer.spans_of(span.trace_id))
+    assert "passport" not in "".join(tracer.find_spans(span.trace_id))
     first, second = records_of(tracer, span.trace_id)
     assert first.failed
     assert first.attributes == {"failure": "not_run", "reason": "overloaded"}
@@ -104,7 +104,7 @@
     generator = stream()
     span = await asyncio.create_task(anext(generator))
     await asyncio.create_task(generator.aclose())
-    assert len(tracer.spans_of(span.trace_id)) == 1
+    assert len(tracer.find_spans(span.trace_id)) == 1
 
 
 def test_only_the_most_recent_spans_are_kept(tracer):
@@ -113,7 +113,7 @@
     for _ in range(RECENT_SPANS):
         with tracer.span("next"):
             pass
-    assert tracer.spans_of(first.trace_id) == ()
+    assert tracer.find_spans(first.trace_id) == ()
 
 
 async def test_spans_are_written_to_a_file(tmp_path):
--- a/tests/soak/test_history.py
+++ b/tests/soak/test_history.py
@@ -2,11 +2,11 @@
 
 import pytest
 from soak.history import (
-    BatchSeen,
-    CallSeen,
+    BatchObservation,
+    CallObservation,
     History,
+    KeyedCallObservation,
     KeyedOutcome,
-    KeyedSeen,
     violations,
 )
 
@@ -25,7 +25,7 @@
 
 
 def history(*results, min_version=1, **changes):
-    batch = BatchSeen("b1", min_version, ["b1-s0", "b1-s1"], was_accepted=True)
+    batch = BatchObservation("b1", min_version, ["b1-s0", "b1-s1"], was_accepted=True)
     batch.note_page(0, {"results": list(results)})
     seen = History(batches={"b1": batch})
     for name, value in changes.items():
@@ -38,15 +38,18 @@
         result(),
         result("b1-s1"),
         calls=[
-            CallSeen("q1", "/once/x", 200, b"answer to q1"),
-            CallSeen("q2", "/once/x", 503, b""),
+            CallObservation("q1", "/once/x", 200, b"answer to q1"),
+            CallObservation("q2", "/once/x", 503, b""),
         ],
         runs={"q1": 1},
         orders=[(1.0, "e1", "a", 5), (9.0, "e1", "b", 7)],
         arrivals=[(1.0, "b1-s0")],
         crashes={"c": [1.0, 2.0, 3.0, 3.5, 5.9, 7.0, 8.0]},
         revisions=[("h", 1, 3), ("h", 1, 4), ("h", 2, 3)],
-        keyed=[KeyedSeen("k1", [NOT_RUN, WHOLE, WHOLE]), KeyedSeen("k2", [NOT_RUN])],
+        keyed=[
+            KeyedCallObservation("k1", [NOT_RUN, WHOLE, WHOLE]),
+            KeyedCallObservation("k2", [NOT_RUN]),
+        ],
     )
     good.runs["k1"] = 1
     good.batches["b1"].ended_at = 2.0
@@ -72,7 +75,7 @@
 
 
 def keyed(*outcomes, runs=1):
-    seen = KeyedSeen("k1", list(outcomes))
+    seen = KeyedCallObservation("k1", list(outcomes))
     return history(result(), keyed=[seen], runs={"k1": runs})
 
 
@@ -106,15 +109,15 @@
     "weights are too old": (history(result(), min_version=2), "minimum is 2"),
     "a score of another call": (history(result(score="scorer.b1-r9")), "score"),
     "a call runs twice": (
-        history(calls=[CallSeen("q1", "/once/x", 502, b"")], runs={"q1": 2}),
+        history(calls=[CallObservation("q1", "/once/x", 502, b"")], runs={"q1": 2}),
         "ran 2 times",
     ),
     "a refused call ran": (
-        history(calls=[CallSeen("q1", "/once/x", 503, b"")], runs={"q1": 1}),
+        history(calls=[CallObservation("q1", "/once/x", 503, b"")], runs={"q1": 1}),
         "was refused but ran",
     ),
     "an answer to another call": (
-        history(calls=[CallSeen("q1", "/once/x", 200, b"answer to q2")]),
+        history(calls=[CallObservation("q1", "/once/x", 200, b"answer to q2")]),
         "wrong answer",
     ),
     "an older token": (
--- a/tests/tls/test_links.py
+++ b/tests/tls/test_links.py
@@ -9,7 +9,7 @@
 
 from bankrudder.client import channel_credentials
 from bankrudder.exceptions import InvalidError
-from bankrudder.observe import Metrics, ObserveServer
+from bankrudder.observe import Metrics, MonitoringServer
 from bankrudder.rpc import server_credentials
 from bankrudder.tls import http_server_context
 from bankrudder.world import Address, HostId
@@ -78,7 +78,7 @@
 
 async def test_monitoring_is_served_over_tls(authority, stranger):
     settings = authority.settings()
-    server = ObserveServer.from_config(
+    server = MonitoringServer.from_config(
         Address(f"{LOOPBACK}:0"),
         Metrics.from_config(HostId("h1")),
         lambda: True,
