--- a/src/bankrudder/observe/_http.py
+++ b/src/bankrudder/observe/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP listener that monitoring asks: metrics, health, readiness, spans."""
+"""HTTP server for monitoring: metrics, health, readiness and spans."""
 
 import ssl
 from collections.abc import Callable, Iterable
@@ -10,23 +10,25 @@
 from bankrudder.world import Address
 
 SHUTDOWN_TIMEOUT_S = 1.0
+"""Time that responses in progress get when the server stops."""
 
 
-class ObserveServer:
+class MonitoringServer:
     """Serves ``/metrics``, ``/healthz``, ``/readyz`` and ``/spans/ID``.
 
     Parameters
     ----------
     address : Address
-        ``ip:port`` to listen on; port 0 takes a free one.
+        ``ip:port`` to listen on; port 0 selects a free port.
     metrics : Metrics
-        What ``/metrics`` renders.
+        Metrics that ``/metrics`` returns.
     is_ready : callable
-        Whether the node takes calls now; ``/readyz`` answers 503 if not.
+        Returns whether the node accepts calls; if not, ``/readyz`` returns 503.
     ssl_context : ssl.SSLContext, optional
-        None serves in clear.
-    spans_of : callable, optional
-        Finished spans of a trace, request, batch or sample, as JSON; none by default.
+        Without it, the server uses plain HTTP.
+    find_spans : callable, optional
+        Returns the finished spans of a trace, request, batch or sample, as JSON. By
+        default there are none.
     """
 
     def __init__(
@@ -35,9 +37,9 @@
         metrics: Metrics,
         is_ready: Callable[[], bool],
         ssl_context: ssl.SSLContext | None = None,
-        spans_of: Callable[[str], Iterable[str]] = lambda _: (),
+        find_spans: Callable[[str], Iterable[str]] = lambda _: (),
     ):
-        self._spans_of = spans_of
+        self._find_spans = find_spans
         self._address = address
         self._metrics = metrics
         self._is_ready = is_ready
@@ -51,21 +53,21 @@
         metrics: Metrics,
         is_ready: Callable[[], bool],
         ssl_context: ssl.SSLContext | None = None,
-        spans_of: Callable[[str], Iterable[str]] = lambda _: (),
+        find_spans: Callable[[str], Iterable[str]] = lambda _: (),
     ) -> Self:
-        """Make a server that `start` lets listen on `address`."""
-        return cls(address, metrics, is_ready, ssl_context, spans_of)
+        """Make a server that listens on `address` once it is started."""
+        return cls(address, metrics, is_ready, ssl_context, find_spans)
 
     @property
     def address(self) -> Address:
-        """Address that is listened on, with the port that was taken."""
+        """Address of the server, with the port in use once it is started."""
         if self._runner is None or not self._runner.addresses:
             return self._address
         host, port = self._runner.addresses[0][:2]
         return Address(f"{host}:{port}")
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
@@ -93,7 +95,7 @@
         self._runner = runner
 
     async def stop(self) -> None:
-        """Stop listening; answers in progress get `SHUTDOWN_TIMEOUT_S`."""
+        """Stop listening; responses in progress get `SHUTDOWN_TIMEOUT_S` to finish."""
         runner = self._runner
         self._runner = None
         if runner is not None:
@@ -107,7 +109,7 @@
         return web.Response(text="ok\n")
 
     async def _get_spans(self, request: web.Request) -> web.Response:
-        spans = self._spans_of(request.match_info["id"])
+        spans = self._find_spans(request.match_info["id"])
         text = "".join(f"{span}\n" for span in spans)
         return web.Response(text=text, content_type="application/x-ndjson")
 
