--- a/src/bankrudder/platform/__init__.py
+++ b/src/bankrudder/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The adapter to the platform: its protocols, in the project's types."""
+"""Adapter to the platform: translates its protocols to and from the project's types.
+
+Only this package uses the platform's paths, header names and field names.
+"""
 
 from bankrudder.platform._adapter import PlatformAdapter, main
 
--- a/src/bankrudder/platform/_adapter.py
+++ b/src/bankrudder/platform/_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter of a host to the platform."""
+"""The adapter that connects a host to the platform."""
 
 from typing import Self
 
@@ -13,14 +13,14 @@
 )
 from bankrudder.platform._duty_api import HttpDutyApi
 from bankrudder.platform._endpoint_client import HttpEndpointClient
-from bankrudder.platform._front import CallerListener, ReadinessListener
+from bankrudder.platform._listeners import CallerListener, ReadinessListener
 from bankrudder.platform._store import PlatformStore
 from bankrudder.routing import RoutingConfiguration
 from bankrudder.world import Clock
 
 
 class PlatformDocuments:
-    """Where the platform keeps its documents, and how they are decoded."""
+    """Locations of the platform's documents in its store, and their decoders."""
 
     configuration_table = names.CONFIGURATION_TABLE
     configuration_key = names.CONFIGURATION_KEY
@@ -32,11 +32,11 @@
         return decode_configuration(body)
 
     def endpoint(self, endpoint_id: str, body: bytes) -> Endpoint:
-        """Decode an entry of the endpoints' list."""
+        """Decode an entry of the list of endpoints."""
         return decode_endpoint(endpoint_id, body)
 
     def named_version(self, body: bytes) -> ModelState:
-        """Decode a version that was named."""
+        """Decode the weight version that a trainer named for a model."""
         return decode_named_version(body)
 
 
@@ -52,39 +52,39 @@
 
     @classmethod
     def from_config(cls, settings: NodeSettings) -> Self:
-        """Make an adapter that connects when it is first used."""
+        """Create an adapter that opens connections on first use."""
         return cls(settings)
 
     @property
     def store(self) -> PlatformStore:
-        """The client of the store."""
+        """The client for the platform's store."""
         return self._store
 
     @property
     def endpoints(self) -> HttpEndpointClient:
-        """The client of endpoints."""
+        """The client for endpoints."""
         return self._endpoints
 
     @property
     def duties(self) -> DutyApi | None:
-        """The client of the interface for duties, None if there is none."""
+        """The client for the platform's duty API, None if none is configured."""
         return self._duties
 
     @property
     def documents(self) -> PlatformDocuments:
-        """Where documents are, and how they are decoded."""
+        """Locations and decoders of the platform's documents."""
         return self._documents
 
     def caller_listener(
         self, settings: NodeSettings, gateway: Gateway, clock: Clock
     ) -> CallerListener:
-        """Make the listener for callers."""
+        """Create the HTTP listener for callers."""
         return CallerListener(settings.callers_address, gateway, clock)
 
     def readiness_listener(
         self, settings: NodeSettings, gateway: Gateway
     ) -> ReadinessListener:
-        """Make the listener for the balancer."""
+        """Create the HTTP listener for the load balancer's readiness checks."""
         return ReadinessListener(settings.readiness_address, gateway)
 
     async def close(self) -> None:
--- a/src/bankrudder/platform/_answers.py
+++ b/src/bankrudder/platform/_answers.py
@@ -1,4 +1,4 @@
-"""Headers to endpoints, and reading of their answers."""
+"""Headers of requests to endpoints, and decoding of the endpoints' answers."""
 
 import asyncio
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 from bankrudder.platform._events import read_events
 from bankrudder.world import ModelVersion
 
-NOT_FORWARDED = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Connection",
@@ -40,32 +40,37 @@
         "Content-Length",
         "Host",
         "Expect",
-        names.TIME_LEFT_MS,
+        names.REMAINING_TIME_MS,
         names.EXPECTED_ENDPOINT,
-        names.LAST_EVENT,
+        names.LAST_EVENT_ID,
     )
 )
-"""Headers that concern one connection only, or that are set anew for each send."""
+"""Headers that apply to one connection only, or that are set for each attempt."""
 
-NOT_SENT = NOT_FORWARDED | {names.WORKSPACE.lower()}
-"""The same for requests: a caller does not say whose request it is."""
+NOT_SENT_HEADERS = NOT_FORWARDED_HEADERS | {names.WORKSPACE.lower()}
+"""Headers that are not copied from a caller's request.
 
+A caller cannot choose the workspace that its request belongs to.
+"""
 
-LEAST_URGENT = 9
-"""The last of the priorities that engines know."""
+
+LOWEST_PRIORITY = 9
+"""The least urgent priority that engines accept; 0 is the most urgent."""
 
 
 def request_headers(endpoint: Endpoint, request: OutgoingRequest) -> CIMultiDict[str]:
     """Return the headers that an endpoint receives."""
     headers = CIMultiDict(
-        (name, value) for name, value in request.headers if name.lower() not in NOT_SENT
+        (name, value)
+        for name, value in request.headers
+        if name.lower() not in NOT_SENT_HEADERS
     )
     headers["Host"] = request.host
     headers[names.REQUEST_ID] = request.request_id
-    headers[names.TIME_LEFT_MS] = str(max(int(request.timeout_s * 1000), 1))
+    headers[names.REMAINING_TIME_MS] = str(max(int(request.timeout_s * 1000), 1))
     headers[names.EXPECTED_ENDPOINT] = endpoint.id
     if request.resume_after >= 0:
-        headers[names.LAST_EVENT] = str(request.resume_after)
+        headers[names.LAST_EVENT_ID] = str(request.resume_after)
     if request.workspace:
         headers[names.WORKSPACE] = request.workspace
     if request.generation is not None:
@@ -75,31 +80,31 @@
 
 def _set_generation(headers: CIMultiDict[str], generation: Generation) -> None:
     headers[names.MODEL] = generation.model
-    headers[names.PRIORITY] = str(min(generation.priority, LEAST_URGENT))
+    headers[names.PRIORITY] = str(min(generation.priority, LOWEST_PRIORITY))
     if generation.max_tokens:
-        # The prompt's tokens are not known here: engines count them themselves.
+        # The number of prompt tokens is not known here: engines count them.
         headers[names.TOKEN_COUNTS] = f"0,{generation.max_tokens}"
 
 
 def is_answer_to(response: aiohttp.ClientResponse, request: OutgoingRequest) -> bool:
-    """Whether a response belongs to a request, by the identifier it echoes."""
-    # A refusal may come before the endpoint read the identifier.
-    echoed = response.headers.get(names.REQUEST_ID)
-    if echoed is None:
+    """Whether a response belongs to a request, by the identifier that it echoes."""
+    # An endpoint may refuse a request before it has read the identifier.
+    echoed_id = response.headers.get(names.REQUEST_ID)
+    if echoed_id is None:
         return response.status >= 400 and names.ANSWER_PROOF not in response.headers
-    return echoed == request.request_id
+    return echoed_id == request.request_id
 
 
-async def whole_answer(response: aiohttp.ClientResponse) -> SendOutcome:
-    """Read a whole answer, or say why there is none."""
-    load = _load(response)
+async def read_answer(response: aiohttp.ClientResponse) -> SendOutcome:
+    """Read a complete answer, or return why there is none."""
+    load = _reported_load(response)
     if _is_refusal(response):
         await response.read()
         return Refused(_refusal_reason(response.status), load)
     if "Content-Encoding" in response.headers:
         response.close()
         return Lost(LossReason.BROKEN_OFF)
-    closed = _closing_of_unframed(response)
+    closed = _body_end_of_close_delimited(response)
     body = await response.read()
     if closed is not None and not await _was_closed_cleanly(closed):
         return Lost(LossReason.BROKEN_OFF)
@@ -110,11 +115,11 @@
 async def stream_outcome(
     response: aiohttp.ClientResponse, request: OutgoingRequest
 ) -> StreamOutcome:
-    """Return the stream of a response, or its whole answer if it is none."""
+    """Return the event stream of a response, or its answer if it is not a stream."""
     if not is_answer_to(response, request):
         return Lost(LossReason.FOREIGN_ANSWER)
     if response.status != 200:
-        return await whole_answer(response)
+        return await read_answer(response)
     version = response.headers.get(names.WEIGHT_VERSION, "")
     return OpenedStream(
         response.status,
@@ -124,10 +129,10 @@
     )
 
 
-def _closing_of_unframed(
+def _body_end_of_close_delimited(
     response: aiohttp.ClientResponse,
 ) -> "asyncio.Future[None] | None":
-    """Return the end of the connection if only that ends the body."""
+    """Return the future of the connection's close if only that ends the body."""
     headers = response.headers
     if "Content-Length" in headers or "Transfer-Encoding" in headers:
         return None
@@ -159,7 +164,7 @@
             return RefusalReason.REJECTED
 
 
-def _load(response: aiohttp.ClientResponse) -> ReportedLoad | None:
+def _reported_load(response: aiohttp.ClientResponse) -> ReportedLoad | None:
     parts = response.headers.get(names.ENDPOINT_LOAD, "").split(",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
@@ -168,13 +173,13 @@
 
 
 def _answer_headers(response: aiohttp.ClientResponse) -> Headers:
-    return tuple(_kept(response.headers.items()))
+    return tuple(_forwarded_headers(response.headers.items()))
 
 
-def _kept(headers: Iterable[tuple[str, str]]) -> Iterable[tuple[str, str]]:
+def _forwarded_headers(headers: Iterable[tuple[str, str]]) -> Iterable[tuple[str, str]]:
     return (
         (name, value)
         for name, value in headers
-        if name.lower() not in NOT_FORWARDED
+        if name.lower() not in NOT_FORWARDED_HEADERS
         and name.lower() != names.ENDPOINT_LOAD.lower()
     )
--- a/src/bankrudder/platform/_batch_documents.py
+++ b/src/bankrudder/platform/_batch_documents.py
@@ -23,15 +23,18 @@
     WorkspaceName,
 )
 
-_NOT_KEPT = frozenset({names.AUTHORIZATION.lower(), names.WORKSPACE.lower()})
-"""Headers of samples that are dropped: a key must be neither stored nor passed on, and
-a caller does not say whose request it is."""
+_DROPPED_HEADERS = frozenset({names.AUTHORIZATION.lower(), names.WORKSPACE.lower()})
+"""Headers that are removed from samples, in lower case.
 
-_STATES = {ResultState.SUCCEEDED: "succeeded", ResultState.ABORTED: "aborted"}
+An API key must be neither stored nor forwarded, and a caller cannot choose the
+workspace that its request belongs to.
+"""
+
+_WIRE_STATES = {ResultState.SUCCEEDED: "succeeded", ResultState.ABORTED: "aborted"}
 
 
 class MalformedBatchError(Exception):
-    """A batch cannot be understood; `field` names what is wrong."""
+    """A batch is malformed; `field` is the invalid field or the decoder's error."""
 
     def __init__(self, field: str):
         super().__init__(field)
@@ -39,7 +42,7 @@
 
 
 class _WireReward(msgspec.Struct):
-    """The call that scores a sample; ``body`` is base64."""
+    """The request that scores a sample; ``body`` is base64."""
 
     id: str
     host: str
@@ -48,7 +51,10 @@
 
 
 class _WireSample(msgspec.Struct):
-    """A sample; ``body`` is base64, ``tokens`` those read and generated at most."""
+    """A sample.
+
+    ``body`` is base64. ``tokens`` is the maximum number of prompt and generated tokens.
+    """
 
     id: str
     path: str
@@ -93,7 +99,7 @@
     Raises
     ------
     MalformedBatchError
-        If it is not one.
+        If the body is not a valid batch.
     """
     try:
         wire = msgspec.json.decode(body, type=_WireBatch)
@@ -117,11 +123,11 @@
 
 
 def encode_page(page: ResultPage) -> bytes:
-    """Encode results."""
+    """Encode a page of results."""
     results = [
         _WireResult(
             each.id,
-            _STATES[each.state],
+            _WIRE_STATES[each.state],
             each.text,
             [int(version) for version in each.versions],
             each.score,
@@ -153,10 +159,10 @@
         headers=tuple(
             (name, value)
             for name, value in wire.headers.items()
-            if name.lower() not in _NOT_KEPT
+            if name.lower() not in _DROPPED_HEADERS
         ),
         body=base64.b64decode(wire.body),
-        # A sample without a group is one by itself.
+        # A sample without a group forms a group of its own.
         group=GroupId(wire.group or wire.id),
         length_hint=int(hint) if hint.isdigit() else 0,
         reward=reward,
--- a/src/bankrudder/platform/_documents.py
+++ b/src/bankrudder/platform/_documents.py
@@ -1,7 +1,7 @@
 """Decoding of the documents that the platform keeps in its store.
 
-Others write them, and not only the platform's own programs, so each decoder takes whole
-documents of its kind only, and raises `UnreadableDocumentError` for anything else.
+Programs other than the platform's own write them as well, so each decoder accepts only
+valid documents of its type and raises `UnreadableDocumentError` for anything else.
 """
 
 from typing import Annotated, TypeVar
@@ -25,7 +25,7 @@
 from bankrudder.workspaces import ApiKey, DuplicateKeyError, KeyIndex, WorkspaceKeys
 from bankrudder.world import Address, DataCentreName, ModelVersion, WorkspaceName
 
-_KINDS = {
+_ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
@@ -33,15 +33,15 @@
 }
 
 
-_STATES = {"ready": Readiness.READY, "draining": Readiness.DRAINING}
+_READINESS_STATES = {"ready": Readiness.READY, "draining": Readiness.DRAINING}
 
-_Count = Annotated[int, msgspec.Meta(ge=0)]
-_Text = Annotated[str, msgspec.Meta(min_length=1)]
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
+_NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 
 _T = TypeVar("_T")
 
 
-class _WireShare(msgspec.Struct):
+class _WireBackend(msgspec.Struct):
     service: str
     weight: float = 1.0
 
@@ -58,7 +58,7 @@
     priority: int = 5
     max_attempts: int = 1
     service: str = ""
-    backends: list[_WireShare] = []
+    backends: list[_WireBackend] = []
     resumable: bool = False
     single_version: bool = False
     public: bool = False
@@ -66,7 +66,7 @@
 
 class _WireModel(msgspec.Struct):
     name: str
-    version: _Count = 0
+    version: _NonNegativeInt = 0
 
 
 class _WireEngine(msgspec.Struct):
@@ -74,8 +74,8 @@
 
 
 class _WireScaling(msgspec.Struct):
-    min: _Count
-    max: _Count
+    min: _NonNegativeInt
+    max: _NonNegativeInt
     zone_prices: dict[str, Annotated[float, msgspec.Meta(ge=0)]]
 
     def __post_init__(self) -> None:
@@ -91,8 +91,8 @@
 
 
 class _WireWorkspace(msgspec.Struct):
-    name: _Text
-    api_keys: list[_Text] = []
+    name: _NonEmptyText
+    api_keys: list[_NonEmptyText] = []
     priority: Annotated[int, msgspec.Meta(ge=0)] | None = None
 
 
@@ -114,14 +114,14 @@
 class _WireEndpoint(msgspec.Struct):
     """An entry of the list of endpoints.
 
-    ``version`` is that of its software; the weights' versions are under ``models``.
-    ``sequence`` counts its heartbeats or orders and is not used. ``born`` is the Unix
-    millisecond of its start.
+    ``version`` is the software version; the weight versions are in ``models``.
+    ``sequence`` counts heartbeats or orders and is not used. ``born`` is the start time
+    of the endpoint's run in Unix milliseconds.
     """
 
-    service: _Text
-    address: _Text
-    zone: _Text
+    service: _NonEmptyText
+    address: _NonEmptyText
+    zone: _NonEmptyText
     version: str
     slot_count: Annotated[int, msgspec.Meta(ge=1)]
     state: str
@@ -131,7 +131,7 @@
     born: StartTime | msgspec.UnsetType = msgspec.UNSET
 
     def __post_init__(self) -> None:
-        if self.state not in _STATES:
+        if self.state not in _READINESS_STATES:
             raise ValueError(f"unknown state {self.state!r}")
         host, _, port = self.address.rpartition(":")
         if not host or not port.isdecimal():
@@ -139,20 +139,20 @@
 
 
 class _WireNamedVersion(msgspec.Struct):
-    model: _Text
+    model: _NonEmptyText
     version: Annotated[int, msgspec.Meta(ge=1)]
 
 
-def _decoded(body: bytes, kind: type[_T]) -> _T:
-    """Decode a document.
+def _decode(body: bytes, document_type: type[_T]) -> _T:
+    """Decode a document of the given type.
 
     Raises
     ------
     UnreadableDocumentError
-        If it is none of its kind, whatever it is.
+        If the body is not a valid document of the type, whatever bytes it holds.
     """
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=document_type)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise UnreadableDocumentError(str(error)) from None
 
@@ -163,12 +163,12 @@
     Raises
     ------
     UnreadableDocumentError
-        If it is not one.
+        If the body is not a valid configuration.
     """
-    wire = _decoded(body, _WireConfiguration)
+    wire = _decode(body, _WireConfiguration)
     return RoutingConfiguration(
         revision=wire.version,
-        routes=tuple(_route(each) for each in wire.routes if each.kind in _KINDS),
+        routes=tuple(_route(each) for each in wire.routes if each.kind in _ROUTE_KINDS),
         services=tuple(_service(each) for each in wire.services),
         limits=CallerLimits(
             wire.limits.max_header_bytes,
@@ -186,35 +186,35 @@
     Raises
     ------
     UnreadableDocumentError
-        If it is not one.
+        If the body is not a valid entry.
     """
-    wire = _decoded(body, _WireEndpoint)
+    wire = _decode(body, _WireEndpoint)
     return Endpoint(
         id=EndpointId(endpoint_id),
         service=ServiceName(wire.service),
         address=Address(wire.address),
         data_centre=DataCentreName(wire.zone),
         slots=wire.slot_count,
-        readiness=_STATES[wire.state],
+        readiness=_READINESS_STATES[wire.state],
         models=tuple(model_state(each) for each in wire.models),
         born=None if wire.born is msgspec.UNSET else wire.born,
     )
 
 
 def decode_named_version(body: bytes) -> ModelState:
-    """Decode the version that a trainer named.
+    """Decode the weight version that a trainer named for a model.
 
     Raises
     ------
     UnreadableDocumentError
-        If it is none.
+        If the body is not a valid document of a version.
     """
-    wire = _decoded(body, _WireNamedVersion)
+    wire = _decode(body, _WireNamedVersion)
     return ModelState(ModelName(wire.model), ModelVersion(wire.version))
 
 
 def model_state(wire: _WireModel) -> ModelState:
-    """Return a model and its version in the project's type."""
+    """Convert a model and its version to the project's type."""
     return ModelState(ModelName(wire.name), ModelVersion(wire.version))
 
 
@@ -237,14 +237,14 @@
 
 
 def _route(wire: _WireRoute) -> Route:
-    shares = wire.backends or [_WireShare(wire.service)]
+    backends = wire.backends or [_WireBackend(wire.service)]
     return Route(
         name=RouteName(wire.name),
         host=wire.host,
         path_prefix=wire.path_prefix,
-        kind=_KINDS[wire.kind],
+        kind=_ROUTE_KINDS[wire.kind],
         services=tuple(
-            WeightedService(ServiceName(each.service), each.weight) for each in shares
+            WeightedService(ServiceName(each.service), each.weight) for each in backends
         ),
         timeout_s=wire.timeout_ms / 1000,
         target_latency_s=wire.target_latency_ms / 1000,
@@ -271,5 +271,5 @@
 def _scaling(wire: _WireScaling | None) -> Scaling | None:
     if wire is None:
         return None
-    prices = {DataCentreName(name): each for name, each in wire.zone_prices.items()}
+    prices = {DataCentreName(name): price for name, price in wire.zone_prices.items()}
     return Scaling(wire.min, wire.max, prices)
--- a/src/bankrudder/platform/_duty_api.py
+++ b/src/bankrudder/platform/_duty_api.py
@@ -1,4 +1,8 @@
-"""The platform's interface for duties over HTTP."""
+"""HTTP client for the platform's duty API.
+
+A call's body is sent only while this host holds the lease of the duty. Connections are
+reset when they are closed, so that no delayed call reaches the platform later.
+"""
 
 import socket
 import struct
@@ -18,17 +22,20 @@
 from bankrudder.world import Address
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest wait for a connection: a hundred times a usual one."""
+"""Timeout of a connection attempt: a hundred times the usual connect time."""
+
+IDLE_TIMEOUT_S = 2.0
+"""Time after which idle connections are closed, before they can fail unnoticed."""
 
-IDLE_S = 2.0
-"""Idle connections are closed after this time, before they can fall silent."""
+_LINGER_RESET = struct.pack("ii", 1, 0)
+"""SO_LINGER value with which a close resets the connection and discards unsent data.
 
-_DROP_UNSENT = struct.pack("ii", 1, 0)
-"""Closing resets the connection, so that what a cut link holds up never arrives."""
+Without it a call that a broken link holds up could still arrive later.
+"""
 
 
 class HttpDutyApi:
-    """Makes calls of duties."""
+    """Makes duty calls over HTTP, without retries."""
 
     def __init__(self, address: Address):
         self._base = f"http://{address}"
@@ -40,20 +47,20 @@
             await self._session.close()
 
     async def call(self, call: DutyCall, ticket: DutyTicket) -> DutyOutcome:
-        """Make a call."""
-        path, body = _wire(call)
-        held = _HeldBody(body, ticket)
+        """Make a call and return its outcome."""
+        path, body = _path_and_body(call)
+        guarded_body = _GuardedBody(body, ticket)
         timeout = aiohttp.ClientTimeout(
             total=ticket.timeout_s, sock_connect=CONNECT_TIMEOUT_S
         )
         try:
-            async with self._opened().post(
+            async with self._open_session().post(
                 self._base + path,
-                data=held.parts(),
+                data=guarded_body.content(),
                 headers={
                     "Content-Length": str(len(body)),
-                    names.HOLDER: ticket.holder,
-                    names.FENCE: str(ticket.fence),
+                    names.DUTY_HOLDER: ticket.holder,
+                    names.FENCING_TOKEN: str(ticket.fence),
                     "Content-Type": "application/json",
                 },
                 timeout=timeout,
@@ -62,16 +69,18 @@
                 return _outcome(call, response.status)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
             return DutyOutcome.REFUSED
-        except (aiohttp.ClientError, OSError, TimeoutError, _DutyLostError):
-            if held.was_withheld:
+        except (aiohttp.ClientError, OSError, TimeoutError, _LeaseLostError):
+            if guarded_body.was_withheld:
                 return DutyOutcome.NOT_ON_DUTY
             return DutyOutcome.UNKNOWN
 
-    def _opened(self) -> aiohttp.ClientSession:
-        # The session is made here because it needs the running loop.
+    def _open_session(self) -> aiohttp.ClientSession:
+        # The session is created here because it needs the running event loop.
         if self._session is None:
             connector = aiohttp.TCPConnector(
-                limit=1, keepalive_timeout=IDLE_S, socket_factory=_resetting_socket
+                limit=1,
+                keepalive_timeout=IDLE_TIMEOUT_S,
+                socket_factory=_resetting_socket,
             )
             self._session = aiohttp.ClientSession(
                 connector=connector, cookie_jar=aiohttp.DummyCookieJar()
@@ -79,50 +88,50 @@
         return self._session
 
 
-class _DutyLostError(Exception):
-    """The duty was lost between the look at its lease and the sending."""
+class _LeaseLostError(Exception):
+    """The lease of the duty was lost between its check and the sending of the body."""
 
 
-class _HeldBody:
-    """The body of a call, which is sent only while the duty is held."""
+class _GuardedBody:
+    """The body of a call, which is sent only while the lease of the duty is held."""
 
     def __init__(self, body: bytes, ticket: DutyTicket):
         self._body = body
         self._ticket = ticket
         self.was_withheld = False
 
-    async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body; without it the call is not carried out.
+    async def content(self) -> AsyncIterator[bytes]:
+        """Yield the body; the platform does not execute a call without its body.
 
         Raises
         ------
-        _DutyLostError
-            If the duty is not held any more; the connection is then reset.
+        _LeaseLostError
+            If the lease is no longer held; the connection is then reset.
         """
         if not self._ticket.is_held():
             self.was_withheld = True
-            raise _DutyLostError
+            raise _LeaseLostError
         yield self._body
 
 
 def _resetting_socket(info: aiohttp.AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = info
-    made = socket.socket(family, kind, protocol)
-    made.setblocking(False)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _DROP_UNSENT)
-    return made
+    created_socket = socket.socket(family, kind, protocol)
+    created_socket.setblocking(False)
+    created_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
+    return created_socket
 
 
-def _wire(call: DutyCall) -> tuple[str, bytes]:
+def _path_and_body(call: DutyCall) -> tuple[str, bytes]:
     body: dict[str, object]
     match call:
         case UsageReport(window=window, counts=counts):
             path = names.USAGE_PATH
             body = {"window_index": window, "instance_counts": counts}
-        case EndpointOrder(service=service, data_centre=place, count=count):
+        case EndpointOrder(service=service, data_centre=data_centre, count=count):
             path = names.SUPPLY_PATH
-            # The field counts endpoints here; batches use it for groups.
-            body = {"service": service, "zone": place, "target_groups": count}
+            # This call uses the field for endpoints; batches use it for sample groups.
+            body = {"service": service, "zone": data_centre, "target_groups": count}
     return path, msgspec.json.encode(body)
 
 
@@ -133,7 +142,7 @@
         case 429 | 503:
             return DutyOutcome.REFUSED
         case 409 if isinstance(call, EndpointOrder):
-            return DutyOutcome.REFUSED  # none is to be had at the moment
+            return DutyOutcome.REFUSED  # no endpoint is available at the moment
         case _ if status < 500:
             return DutyOutcome.REJECTED
         case _:
--- a/src/bankrudder/platform/_endpoint_client.py
+++ b/src/bankrudder/platform/_endpoint_client.py
@@ -1,4 +1,4 @@
-"""Requests and orders to endpoints over HTTP."""
+"""HTTP client for requests and orders to endpoints."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -31,25 +31,28 @@
 from bankrudder.platform import _names as names
 from bankrudder.platform._answers import (
     is_answer_to,
+    read_answer,
     request_headers,
     stream_outcome,
-    whole_answer,
 )
 from bankrudder.platform._endpoint_sessions import EndpointSessions
 from bankrudder.routing import ModelName
 from bankrudder.world import ModelVersion
 
 CONNECT_TIMEOUT_S = 0.4
-"""Longest wait for a connection: a hundred times a usual one, and below the time
-in which most answers are still useful."""
+"""Timeout of a connection attempt.
+
+It is a hundred times the usual connect time, and shorter than the time within which
+most answers are still useful.
+"""
 
 CONTROL_TIMEOUT_S = 1.0
-"""Longest wait for the answer to an order or a question about state."""
+"""Timeout of orders and state queries."""
 
 MAX_REASON_CHARS = 200
-"""Longest reason in a log line that quotes an endpoint's answer."""
+"""Maximum length of the reason in a log line that quotes an endpoint's answer."""
 
-_MODES = {SwitchMode.FINISH_FIRST: "wait", SwitchMode.CONTINUE: "keep"}
+_WIRE_MODES = {SwitchMode.FINISH_FIRST: "wait", SwitchMode.CONTINUE: "keep"}
 
 _ORDER_OUTCOMES = {
     200: OrderOutcome.ALREADY_SO,
@@ -69,10 +72,11 @@
 
 
 class _WireState(msgspec.Struct):
-    """State of an engine, a tenth of a second ago.
+    """State that an engine reports; it is a tenth of a second old.
 
-    ``sequence`` counts the orders that it accepted, ``num_running`` the requests that
-    it works on, ``born`` is the Unix millisecond of its start.
+    ``sequence`` counts the orders that the engine accepted, ``num_running`` the
+    requests that it is processing. ``born`` is the start time of the engine's run in
+    Unix milliseconds.
     """
 
     sequence: int
@@ -83,7 +87,11 @@
 
 
 class HttpEndpointClient:
-    """Sends to endpoints; each send names the endpoint that it is meant for."""
+    """Sends requests and orders to endpoints.
+
+    Each request states the endpoint that it is meant for, so that another endpoint at
+    the same address refuses it.
+    """
 
     def __init__(self) -> None:
         self._sessions = EndpointSessions()
@@ -93,14 +101,14 @@
         await self._sessions.close()
 
     async def send(self, endpoint: Endpoint, request: OutgoingRequest) -> SendOutcome:
-        """Send a request and read the whole answer."""
+        """Send a request and read the complete answer."""
         try:
             async with self._request(endpoint, request) as response:
                 self._sessions.learn_idle_time(endpoint, response)
                 if not is_answer_to(response, request):
                     response.close()
                     return Lost(LossReason.FOREIGN_ANSWER)
-                outcome = await whole_answer(response)
+                outcome = await read_answer(response)
                 if isinstance(outcome, Answered):
                     keep_alive_s = self._sessions.keep_alive_s(
                         endpoint, request, response
@@ -110,7 +118,7 @@
                     )
                 return outcome
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            return Refused(_unreached(error))
+            return Refused(_connect_refusal(error))
         except TimeoutError:
             return Lost(LossReason.TIMEOUT)
         except (aiohttp.ClientPayloadError, aiohttp.ClientResponseError):
@@ -122,7 +130,7 @@
     async def open_stream(
         self, endpoint: Endpoint, request: OutgoingRequest
     ) -> AsyncIterator[StreamOutcome]:
-        """Send a request whose answer is a stream; leaving the context ends it."""
+        """Send a request whose answer is a stream; leaving the context closes it."""
         response: aiohttp.ClientResponse | None = None
         outcome: StreamOutcome
         try:
@@ -133,7 +141,7 @@
                 keep_alive_s = self._sessions.keep_alive_s(endpoint, request, response)
                 outcome = msgspec.structs.replace(outcome, keep_alive_s=keep_alive_s)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            outcome = Refused(_unreached(error))
+            outcome = Refused(_connect_refusal(error))
         except TimeoutError:
             outcome = Lost(LossReason.TIMEOUT)
         except (aiohttp.ClientError, OSError):
@@ -142,11 +150,11 @@
             yield outcome
         finally:
             if response is not None:
-                # Closes the connection unless the answer was read to its end.
+                # This closes the connection unless the answer was read to its end.
                 response.close()
 
     async def reach(self, endpoint: Endpoint) -> ProbeResult:
-        """Find out whether anybody listens at an endpoint's address."""
+        """Check whether a process listens at an endpoint's address."""
         host, _, port = endpoint.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -159,9 +167,9 @@
         return ProbeResult.LISTENING
 
     async def state(self, endpoint: Endpoint) -> EngineState | None:
-        """Ask an engine for its state, None if it does not tell."""
+        """Return the state of an engine, None if the query fails."""
         try:
-            async with self._sessions.of(endpoint).get(
+            async with self._sessions.session_for(endpoint).get(
                 _url(endpoint, names.STATE_PATH),
                 headers={names.EXPECTED_ENDPOINT: endpoint.id},
                 timeout=aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S),
@@ -171,7 +179,9 @@
                 wire = msgspec.json.decode(await response.read(), type=_WireState)
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             _log.info(
-                "endpoints: no state", endpoint=endpoint.id, reason=type(error).__name__
+                "endpoints: state query failed",
+                endpoint=endpoint.id,
+                reason=type(error).__name__,
             )
             return None
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -193,15 +203,16 @@
             "op": "version",
             "model": order.model,
             "version": order.version,
-            "mode": _MODES[order.mode],
+            "mode": _WIRE_MODES[order.mode],
             "holder": order.holder,
             "fence": order.fencing_token,
             "precondition": order.expected_orders,
         }
         try:
-            # On a connection that the endpoint is closing the outcome is unknown, which
-            # the count of orders settles; a new one for each order costs more.
-            async with self._sessions.of(endpoint).post(
+            # If the endpoint is closing the reused connection, the outcome is unknown
+            # until the engine's count of orders shows it. A new connection for each
+            # order would cost more.
+            async with self._sessions.session_for(endpoint).post(
                 _url(endpoint, names.ORDERS_PATH),
                 data=msgspec.json.encode(body),
                 headers={
@@ -219,7 +230,7 @@
             return OrderOutcome.UNKNOWN
 
     def _request(self, endpoint: Endpoint, request: OutgoingRequest) -> Any:
-        return self._sessions.of(
+        return self._sessions.session_for(
             endpoint, may_reuse=request.may_reuse_connection
         ).request(
             request.method,
@@ -234,8 +245,8 @@
         )
 
 
-def _unreached(error: aiohttp.ClientError) -> RefusalReason:
-    """Return why there is no connection."""
+def _connect_refusal(error: aiohttp.ClientError) -> RefusalReason:
+    """Return the reason why a connection attempt failed."""
     if isinstance(error, aiohttp.ClientConnectorError) and isinstance(
         error.os_error, ConnectionRefusedError
     ):
--- a/src/bankrudder/platform/_endpoint_sessions.py
+++ b/src/bankrudder/platform/_endpoint_sessions.py
@@ -1,4 +1,8 @@
-"""Connections to endpoints: one pool a service, and one a run that started again."""
+"""HTTP sessions for endpoints.
+
+The endpoints of a service share a connection pool. An endpoint that has restarted at
+its address gets a pool of its own, so that no connection to its earlier run is reused.
+"""
 
 import asyncio
 
@@ -10,52 +14,54 @@
 from bankrudder.routing import ServiceName
 from bankrudder.world import Address
 
-IDLE_S = 3.0
-"""An idle connection is closed after this time if the endpoint does not say how long
-it keeps one."""
+IDLE_TIMEOUT_S = 3.0
+"""Time after which an idle connection is closed if the endpoint states no limit."""
 
 IDLE_MARGIN_S = 1.0
-"""How long before the endpoint an idle connection is closed here, so that no request
-is sent on a connection that is being closed."""
+"""Margin by which an idle connection is closed here before the endpoint closes it.
+
+Without it a request could be sent on a connection that the endpoint is closing.
+"""
 
-MAX_IDLE_S = 30.0
-"""Longest time for which an idle connection is kept."""
+MAX_IDLE_TIMEOUT_S = 30.0
+"""Maximum time for which an idle connection is kept open."""
 
-NOT_KEPT = 0.0
-"""Idle time of connections that are closed after each request."""
+NO_IDLE_S = 0.0
+"""Idle timeout of connections that are closed after each request."""
 
 _log = structlog.get_logger("endpoints")
 
 
-class _SessionKind(msgspec.Struct, frozen=True):
-    """What requests must have in common to use the same connections."""
+class _SessionKey(msgspec.Struct, frozen=True):
+    """Key of a session: requests with equal keys share connections."""
 
     service: ServiceName
-    is_kept: bool
-    later_run: EndpointRun | None
+    is_persistent: bool
+    restarted_run: EndpointRun | None
 
 
 class _Connector(aiohttp.TCPConnector):
-    """Connections whose idle time can change, as it is learned from the first answer.
+    """Connector whose idle timeout can change after connections were opened.
 
-    A step opens a hundred connections before one is answered; they are kept then. A
-    connector made anew for the learned time would leave them all unused.
+    The idle timeout is known from the first answer on. A training step opens a hundred
+    connections before that answer; they stay usable. A new connector with the learned
+    timeout would leave them all unused.
     """
 
-    def keep_idle(self, seconds: float) -> None:
-        """Keep idle connections for so long from now on."""
-        self._keepalive_timeout = seconds
+    def set_idle_timeout(self, idle_s: float) -> None:
+        """Set the time for which idle connections are kept open from now on."""
+        self._keepalive_timeout = idle_s
 
 
 class EndpointSessions:
-    """The sessions through which requests reach endpoints, made when first needed."""
+    """Sessions for requests to endpoints, created on first use."""
 
     def __init__(self) -> None:
-        self._sessions: dict[_SessionKind, aiohttp.ClientSession] = {}
-        self._connectors: dict[_SessionKind, _Connector] = {}
-        self._later_runs: dict[Address, EndpointRun] = {}
+        self._sessions: dict[_SessionKey, aiohttp.ClientSession] = {}
+        self._connectors: dict[_SessionKey, _Connector] = {}
+        self._restarted_runs: dict[Address, EndpointRun] = {}
         self._runs: dict[Address, EndpointRun] = {}
-        self._closing: set[asyncio.Task[None]] = set()
+        self._closing_tasks: set[asyncio.Task[None]] = set()
         self._idle_s: dict[ServiceName, float] = {}
 
     async def close(self) -> None:
@@ -63,7 +69,7 @@
         for session in self._sessions.values():
             await session.close()
 
-    def of(
+    def session_for(
         self, endpoint: Endpoint, *, may_reuse: bool = True
     ) -> aiohttp.ClientSession:
         """Return the session for a request to an endpoint.
@@ -71,20 +77,20 @@
         Parameters
         ----------
         may_reuse : bool
-            Whether a connection that has been idle will do.
+            Whether the request may be sent on a connection that has been idle.
         """
-        # Sessions are made here because they need the running loop.
+        # Sessions are created here because they need the running event loop.
         service = endpoint.service
-        idle_s = self._idle_s.get(service, IDLE_S) if may_reuse else NOT_KEPT
-        is_kept = idle_s > NOT_KEPT
-        kind = _SessionKind(service, is_kept, self._later_run(endpoint))
-        if kind not in self._sessions:
-            connector = _Connector(limit=0, force_close=not is_kept)
-            self._connectors[kind] = connector
-            self._sessions[kind] = _new_session(connector)
-        if is_kept:
-            self._connectors[kind].keep_idle(idle_s)
-        return self._sessions[kind]
+        idle_s = self._idle_s.get(service, IDLE_TIMEOUT_S) if may_reuse else NO_IDLE_S
+        is_persistent = idle_s > NO_IDLE_S
+        session_key = _SessionKey(service, is_persistent, self._restarted_run(endpoint))
+        if session_key not in self._sessions:
+            connector = _Connector(limit=0, force_close=not is_persistent)
+            self._connectors[session_key] = connector
+            self._sessions[session_key] = _new_session(connector)
+        if is_persistent:
+            self._connectors[session_key].set_idle_timeout(idle_s)
+        return self._sessions[session_key]
 
     def keep_alive_s(
         self,
@@ -92,17 +98,17 @@
         request: OutgoingRequest,
         response: aiohttp.ClientResponse,
     ) -> float:
-        """Return for how long the connection of an answer is kept, in seconds."""
+        """Return for how long an answer's connection stays open, 0 if it closes."""
         is_closed = response.headers.get("Connection", "").lower() == "close"
         if is_closed or not request.may_reuse_connection:
             return 0.0
-        return self._idle_s.get(endpoint.service, IDLE_S)
+        return self._idle_s.get(endpoint.service, IDLE_TIMEOUT_S)
 
     def learn_idle_time(
         self, endpoint: Endpoint, response: aiohttp.ClientResponse
     ) -> None:
-        """Take for how long the endpoints of a service keep idle connections."""
-        idle_s = _stated_idle_s(response)
+        """Record the idle timeout that an endpoint of a service advertises."""
+        idle_s = _advertised_idle_s(response)
         if idle_s is None or idle_s == self._idle_s.get(endpoint.service):
             return
         self._idle_s[endpoint.service] = idle_s
@@ -110,38 +116,41 @@
             "endpoints: idle time learned", service=endpoint.service, idle_s=idle_s
         )
 
-    def _later_run(self, endpoint: Endpoint) -> EndpointRun | None:
-        """Return the run of an endpoint that has started again at its address.
+    def _restarted_run(self, endpoint: Endpoint) -> EndpointRun | None:
+        """Return the current run of an endpoint that has restarted at its address.
 
-        Idle connections to the earlier run may be dead without a sign, if it crashed
-        behind a cut link. The later run gets a session of its own, so none is reused.
+        Return None if no restart is known. If the earlier run crashed behind a broken
+        link, its idle connections may be dead without any notice. The later run gets a
+        session of its own, so that none of them is reused.
         """
         run = endpoint.run
-        known = self._runs.setdefault(endpoint.address, run)
-        is_old = known.endpoint == run.endpoint and run.is_before(known)
-        if known != run and not is_old:
+        known_run = self._runs.setdefault(endpoint.address, run)
+        is_stale = known_run.endpoint == run.endpoint and run.is_before(known_run)
+        if known_run != run and not is_stale:
             self._runs[endpoint.address] = run
-            self._close_sessions(self._later_runs.get(endpoint.address))
-            self._later_runs[endpoint.address] = run
-        return self._later_runs.get(endpoint.address)
+            self._close_sessions(self._restarted_runs.get(endpoint.address))
+            self._restarted_runs[endpoint.address] = run
+        return self._restarted_runs.get(endpoint.address)
 
     def _close_sessions(self, run: EndpointRun | None) -> None:
-        """Close the connections to a run that has ended, if they are apart."""
+        """Close the sessions that belong only to a run that has ended."""
         if run is None:
             return
-        for kind in [each for each in self._sessions if each.later_run == run]:
-            del self._connectors[kind]
-            closing = asyncio.ensure_future(self._sessions.pop(kind).close())
-            self._closing.add(closing)
-            closing.add_done_callback(self._closing.discard)
+        for session_key in [key for key in self._sessions if key.restarted_run == run]:
+            del self._connectors[session_key]
+            closing_task = asyncio.ensure_future(
+                self._sessions.pop(session_key).close()
+            )
+            self._closing_tasks.add(closing_task)
+            closing_task.add_done_callback(self._closing_tasks.discard)
 
 
-def _stated_idle_s(response: aiohttp.ClientResponse) -> float | None:
-    """Return for how long a connection may stay idle, None if it is not stated."""
+def _advertised_idle_s(response: aiohttp.ClientResponse) -> float | None:
+    """Return the usable part of the advertised idle timeout, None if there is none."""
     for part in response.headers.get("Keep-Alive", "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return min(max(int(value) - IDLE_MARGIN_S, 0.0), MAX_IDLE_S)
+            return min(max(int(value) - IDLE_MARGIN_S, 0.0), MAX_IDLE_TIMEOUT_S)
     return None
 
 
--- a/src/bankrudder/platform/_events.py
+++ b/src/bankrudder/platform/_events.py
@@ -1,4 +1,4 @@
-"""Parsing of the event streams that engines send."""
+"""Parser for the event streams that engines send."""
 
 from collections.abc import AsyncIterator
 
@@ -9,7 +9,7 @@
 from bankrudder.world import ModelVersion
 
 MAX_EVENT_BYTES = 1 << 20
-"""Longest event that is accepted: sixty times the longest seen."""
+"""Maximum size of an event: sixty times the largest one seen."""
 
 _VERSION_FIELD = names.WEIGHT_VERSION.lower().encode("ascii")
 
@@ -22,25 +22,33 @@
     Raises
     ------
     StreamBrokenError
-        If it ends before the response does, or holds something else than events.
+        If the response fails or ends inside an event, or contains invalid data.
     """
-    rest = b""
+    buffer = b""
     try:
-        async for part in response.content.iter_any():
-            *events, rest = (rest + part).split(b"\n\n")
+        async for chunk in response.content.iter_any():
+            *events, buffer = (buffer + chunk).split(b"\n\n")
             for event in events:
                 if event.strip():
                     yield parse_event(event)
-            if len(rest) > MAX_EVENT_BYTES:
-                raise StreamBrokenError("event too long")
+            if len(buffer) > MAX_EVENT_BYTES:
+                raise StreamBrokenError(f"event is longer than {MAX_EVENT_BYTES} bytes")
     except (aiohttp.ClientError, OSError, TimeoutError) as error:
         raise StreamBrokenError(type(error).__name__) from None
-    if rest.strip():
-        raise StreamBrokenError("ends within an event")
+    if buffer.strip():
+        raise StreamBrokenError(
+            f"stream ended inside an event, after {len(buffer)} bytes of it"
+        )
 
 
 def parse_event(block: bytes) -> StreamEvent:
-    """Parse one event without its blank line; raises `StreamBrokenError`."""
+    """Parse one event without its terminating blank line.
+
+    Raises
+    ------
+    StreamBrokenError
+        If the event is malformed.
+    """
     number: int | None = None
     version: ModelVersion | None = None
     data: list[str] = []
@@ -58,9 +66,11 @@
                 case b"" | b"event" | b"retry":
                     pass
                 case _:
-                    raise StreamBrokenError("unknown field")
+                    raise StreamBrokenError("event has an unknown field")
     except ValueError as error:
-        raise StreamBrokenError("malformed event") from error
+        raise StreamBrokenError(
+            "event has an invalid number, version or encoding"
+        ) from error
     if number is None:
-        raise StreamBrokenError("event without a number")
+        raise StreamBrokenError("event has no id field")
     return StreamEvent(number, "\n".join(data), version, block + b"\n\n")
--- a/src/bankrudder/platform/_front.py
+++ b/src/bankrudder/platform/_listeners.py
@@ -1,4 +1,4 @@
-"""The listeners for callers and for the platform's balancer."""
+"""HTTP listeners for callers and for the platform's load balancer."""
 
 import asyncio
 
@@ -34,35 +34,38 @@
 from bankrudder.world import Address, Clock, SampleId, WorkspaceName
 
 KEEP_ALIVE_S = 20.0
-"""An idle connection of a caller is kept for longer than callers reuse one."""
+"""Idle timeout of callers' connections: longer than callers reuse an idle one."""
 
 MAX_HEADER_BYTES = 32768
-"""Longest line of a request's head: twice what operators allow, so that it is never
-this listener that refuses what they allow."""
+"""Maximum size of the request line and of each header field.
+
+It is twice what operators can allow, so that this listener never refuses a request that
+the configuration allows.
+"""
 
 MAX_BODY_BYTES = 64 << 20
-"""Longest body that is read before the configuration is known."""
+"""Maximum size of a body that is read before the configured limit is applied."""
 
-DEFAULT_TIME_LEFT_S = 30.0
-"""Time that a caller is taken to wait if it does not say."""
+DEFAULT_TIMEOUT_S = 30.0
+"""Timeout of a request whose caller states none."""
 
 TRACE_HEADER = "traceparent"
-"""W3C's header for traces, which callers may send."""
+"""Header of the W3C Trace Context, which callers may send."""
 
-IDENTITY_HEADERS = (names.AUTHORIZATION, names.MODEL, names.PROMPT)
-"""What tells requests of the same path and body apart: caller, model, prompt."""
+IDENTITY_HEADERS = (names.AUTHORIZATION, names.MODEL, names.PROMPT_PREFIX)
+"""Headers that distinguish requests of the same path and body."""
 
 AUTHENTICATE_HEADER = "WWW-Authenticate"
-"""HTTP's header that names the scheme by which callers show their key."""
+"""Header of a 401 response that names the accepted authentication scheme."""
 
-READ_MARGIN_S = 0.1
-"""A held read is answered this long before the caller's time is up."""
+LONG_POLL_MARGIN_S = 0.1
+"""Time by which a long poll is answered before the caller's maximum wait ends."""
 
 _log = structlog.get_logger("front")
 
 
 class CallerListener:
-    """Serves callers and trainers."""
+    """Serves the HTTP requests of callers and trainers."""
 
     def __init__(self, address: Address, gateway: Gateway, clock: Clock):
         self._address = address
@@ -95,7 +98,7 @@
         await self._site.start()
 
     async def stop(self) -> None:
-        """Stop listening and close what is left."""
+        """Stop listening and close the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -120,15 +123,17 @@
             return await self._batch_call(request, path)
         if path.startswith(names.SAMPLE_PATH_PREFIX):
             return await self._sample_body(request, path)
-        incoming = _incoming(request, body, received_at)
+        incoming = _incoming_request(request, body, received_at)
         route = self._gateway.route(incoming.host, incoming.path)
         if not isinstance(route, Route):
             return _response(route)
-        admitted = await self._gateway.admit(_key(request), is_public=route.is_public)
+        admitted = await self._gateway.admit(
+            _api_key(request), is_public=route.is_public
+        )
         if not isinstance(admitted, Admitted):
             return _response(admitted)
         if self._gateway.has_workspaces or admitted.workspace:
-            incoming = _of_workspace(incoming, admitted.workspace)
+            incoming = _with_workspace(incoming, admitted.workspace)
         match route:
             case Route(kind=RouteKind.ROLLOUT):
                 return await self._accept_batch(incoming, route)
@@ -158,7 +163,7 @@
                 request=incoming.request_id,
                 reason=str(error),
             )
-            # The caller must see that it is not whole.
+            # A reset connection shows the caller that the stream is incomplete.
             if request.transport is not None:
                 request.transport.abort()
         return response
@@ -180,7 +185,7 @@
         return web.Response(status=202) if reply is None else _response(reply)
 
     async def _batch_call(self, request: web.BaseRequest, path: str) -> web.Response:
-        admitted = await self._gateway.admit_to_batches(_key(request))
+        admitted = await self._gateway.admit_to_batches(_api_key(request))
         if not isinstance(admitted, Admitted):
             return _response(admitted)
         batch_id = BatchId(path.removeprefix(names.BATCH_PATH_PREFIX))
@@ -190,12 +195,12 @@
         after = request.query.get("after", "0")
         if not after.isdigit():
             return _response(Malformed("after"))
-        wait_ms = request.headers.get(names.LONGEST_WAIT_MS, "0")
+        wait_ms = request.headers.get(names.MAX_WAIT_MS, "0")
         wait_s = float(wait_ms) / 1000 if wait_ms.isdigit() else 0.0
         page = await self._gateway.results(
             batch_id,
             int(after),
-            max(wait_s - READ_MARGIN_S, 0.0),
+            max(wait_s - LONG_POLL_MARGIN_S, 0.0),
             admitted.workspace,
         )
         if isinstance(page, NotRun | NotFound):
@@ -203,7 +208,7 @@
         return web.Response(body=encode_page(page), content_type="application/json")
 
     async def _sample_body(self, request: web.BaseRequest, path: str) -> web.Response:
-        admitted = await self._gateway.admit_to_batches(_key(request))
+        admitted = await self._gateway.admit_to_batches(_api_key(request))
         if not isinstance(admitted, Admitted):
             return _response(admitted)
         batch_id = BatchId(path.removeprefix(names.SAMPLE_PATH_PREFIX))
@@ -215,7 +220,10 @@
 
 
 class ReadinessListener:
-    """Tells the platform's balancer whether this host takes new connections."""
+    """Answers the load balancer's readiness checks.
+
+    The response states whether this host accepts new connections.
+    """
 
     def __init__(self, address: Address, gateway: Gateway):
         self._address = address
@@ -258,12 +266,12 @@
     )
 
 
-def _incoming(
+def _incoming_request(
     request: web.BaseRequest, body: bytes, received_at: float
 ) -> IncomingRequest:
-    left_ms = request.headers.get(names.TIME_LEFT_MS, "")
-    left_s = float(left_ms) / 1000 if left_ms.isdigit() else DEFAULT_TIME_LEFT_S
-    last_event = request.headers.get(names.LAST_EVENT, "")
+    timeout_ms = request.headers.get(names.REMAINING_TIME_MS, "")
+    timeout_s = float(timeout_ms) / 1000 if timeout_ms.isdigit() else DEFAULT_TIMEOUT_S
+    last_event = request.headers.get(names.LAST_EVENT_ID, "")
     target = request.message.path
     return IncomingRequest(
         request_id=request.headers.get(names.REQUEST_ID, ""),
@@ -273,7 +281,7 @@
         host=request.headers.get("Host", ""),
         headers=tuple(request.headers.items()),
         body=body,
-        deadline=received_at + left_s,
+        deadline=received_at + timeout_s,
         received_at=received_at,
         resume_after=int(last_event) if last_event.isdigit() else -1,
         trace=request.headers.get(TRACE_HEADER, ""),
@@ -281,14 +289,17 @@
     )
 
 
-def _key(request: web.BaseRequest) -> ApiKey | None:
+def _api_key(request: web.BaseRequest) -> ApiKey | None:
     return parse_bearer(request.headers.getall(names.AUTHORIZATION, []))
 
 
-def _of_workspace(
+def _with_workspace(
     incoming: IncomingRequest, workspace: WorkspaceName
 ) -> IncomingRequest:
-    """Return a request without its key, which nobody behind this listener needs."""
+    """Return a request of a workspace, without its API key.
+
+    The key is not needed after the workspace was determined from it.
+    """
     headers = tuple(
         (name, value)
         for name, value in incoming.headers
@@ -312,11 +323,11 @@
             )
         case NotFound():
             return web.Response(status=404)
-        case Unauthorized(reason=refusal):
+        case Unauthorized(reason=refusal_reason):
             return web.Response(
                 status=401,
                 headers={AUTHENTICATE_HEADER: "Bearer"},
-                text=f"not allowed: {refusal.value}\n",
+                text=f"not allowed: {refusal_reason.value}\n",
             )
         case Malformed(field=field):
             return web.Response(status=400, text=f"malformed: {field}\n")
--- a/src/bankrudder/platform/_store.py
+++ b/src/bankrudder/platform/_store.py
@@ -1,4 +1,8 @@
-"""The platform's store over HTTP."""
+"""HTTP client for the platform's store.
+
+It does not retry: a commit without a usable reply has an unknown outcome, unless no
+connection was made.
+"""
 
 import base64
 from typing import Any, Self
@@ -28,25 +32,29 @@
 from bankrudder.world import Address
 
 CALL_TIMEOUT_S = 0.8
-"""Longest wait for a reply beside the time that the call itself asks for: half more
-than a transaction takes when the store is sixty times slower than usual. Results whose
-reply is lost are listed again after it."""
+"""Timeout of a call, apart from the time that a call asks the store to wait.
+
+It is 1.5 times what a transaction takes when the store is sixty times slower than
+usual. Results whose reply is lost are listed again after this time.
+"""
 
 OBJECT_TIMEOUT_S = 4.0
-"""The same for objects, which take three times as long as a transaction."""
+"""Timeout of calls for objects, which take three times as long as transactions."""
 
 FOLLOW_SLACK_S = 0.6
-"""Longest wait for news beyond the time for which the store may hold the read: twice
-what a read takes when the store is sixty times slower than usual."""
+"""Timeout of a read of changes beyond the time for which the store may hold it open.
+
+It is twice what a read takes when the store is sixty times slower than usual.
+"""
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a connection: a hundred times a usual round trip."""
+"""Timeout of a connection attempt: a hundred times the usual round-trip time."""
 
 MAX_CONNECTIONS = 24
-"""Connections to the store at once; calls beyond it wait for one."""
+"""Maximum number of connections to the store; further calls wait for a free one."""
 
-IDLE_S = 10.0
-"""An idle connection is closed after this time, before it can fall silent."""
+IDLE_TIMEOUT_S = 10.0
+"""Time after which idle connections are closed, before they can fail unnoticed."""
 
 _TROUBLE_OF_STATUS = {
     429: StoreTrouble.RATE_LIMITED,
@@ -59,7 +67,7 @@
 
 
 class _WireRow(msgspec.Struct, omit_defaults=True):
-    """A row as the store spells it; ``value`` is base64."""
+    """A row in the store's format; ``value`` is base64."""
 
     table: str
     part: str = ""
@@ -70,7 +78,7 @@
 
 
 class _WireReply(msgspec.Struct):
-    """Any of the store's replies. ``ver`` is the newest version of the store."""
+    """Any reply of the store; ``ver`` is the latest version of the store."""
 
     rows: list[_WireRow] = []
     parts: list[str] = []
@@ -80,7 +88,7 @@
 
 
 class _Reply(msgspec.Struct):
-    """A reply in the project's types; ``store_time_s`` is of the store's own clock."""
+    """A reply in the project's types; ``store_time_s`` is by the store's clock."""
 
     changes: tuple[Row | RemovedRow, ...]
     parts: tuple[str, ...]
@@ -90,21 +98,24 @@
 
     @property
     def rows(self) -> tuple[Row, ...]:
-        """The rows that exist."""
+        """The changes that are not removals."""
         return tuple(each for each in self.changes if isinstance(each, Row))
 
 
-class _Unanswered(Exception):
-    """There is no usable reply; `may_be_done` tells whether the call was sent."""
+class _NoReplyError(Exception):
+    """There is no usable reply.
+
+    `may_be_applied` is false only if no connection was made, so that nothing was sent.
+    """
 
-    def __init__(self, trouble: StoreTrouble, may_be_done: bool):
+    def __init__(self, trouble: StoreTrouble, may_be_applied: bool):
         super().__init__(trouble.value)
         self.trouble = trouble
-        self.may_be_done = may_be_done
+        self.may_be_applied = may_be_applied
 
 
 class PlatformStore:
-    """The only client of the platform's store."""
+    """Client for the platform's store, which holds rows and objects."""
 
     def __init__(self, address: Address):
         self._base = f"http://{address}"
@@ -112,7 +123,7 @@
 
     @classmethod
     def from_config(cls, address: Address) -> Self:
-        """Make a client that connects when it is first used."""
+        """Create a client that opens connections on first use."""
         return cls(address)
 
     async def close(self) -> None:
@@ -132,19 +143,19 @@
                 case 412:
                     return Conflict(_decode(reply).rows)
                 case _:
-                    return NotCommitted(_trouble(status))
-        except _Unanswered as error:
-            return _not_known(error)
+                    return NotCommitted(_trouble_of(status))
+        except _NoReplyError as error:
+            return _outcome_without_reply(error)
 
     async def read(
         self, table: str, part: str, start: str = "", end: str = "", limit: int = 500
     ) -> Page:
-        """Return rows of one part in the order of their keys."""
+        """Return rows of one part, ordered by key, with ``start <= key < end``."""
         query = {"table": table, "part": part, "limit": str(limit)}
         if start:
             query["from"] = start
         if end:
-            query["target"] = end  # the end of the range, which is left out
+            query["target"] = end  # exclusive end of the range
         reply = await self._read(names.READ_PATH, query)
         return Page(reply.rows, reply.version, reply.has_more)
 
@@ -160,7 +171,7 @@
             query["after"] = reply.parts[-1]
 
     async def follow(self, table: str, after: RowVersion, wait_s: float) -> Changes:
-        """Return what changed after a version."""
+        """Return the changes after a version, waiting up to `wait_s` for the first."""
         query = {
             "table": table,
             "after": str(after),
@@ -179,15 +190,15 @@
                 headers={"If-None-Match": "*"},
                 timeout_s=OBJECT_TIMEOUT_S,
             )
-        except _Unanswered as error:
-            return _not_known(error)
+        except _NoReplyError as error:
+            return _outcome_without_reply(error)
         match status:
             case 200 | 201 | 204:
                 return Committed(RowVersion(0))
             case 412:
                 return Conflict(())
             case _:
-                return NotCommitted(_trouble(status))
+                return NotCommitted(_trouble_of(status))
 
     async def get_object(self, name: str) -> bytes | None:
         """Return an object, None if it does not exist."""
@@ -195,7 +206,7 @@
             status, body = await self._call(
                 "GET", names.GET_OBJECT_PATH + name, timeout_s=OBJECT_TIMEOUT_S
             )
-        except _Unanswered as error:
+        except _NoReplyError as error:
             raise StoreUnavailableError(error.trouble) from None
         match status:
             case 200:
@@ -203,17 +214,17 @@
             case 404:
                 return None
             case _:
-                raise StoreUnavailableError(_trouble(status))
+                raise StoreUnavailableError(_trouble_of(status))
 
     async def drop_object(self, name: str) -> CommitOutcome:
-        """Remove an object, also one that does not exist."""
+        """Remove an object; succeed also if it does not exist."""
         try:
             status, _ = await self._call("DELETE", names.DROP_OBJECT_PATH + name)
-        except _Unanswered as error:
+        except _NoReplyError as error:
             return CommitUnknown(error.trouble)
         if status in (200, 204, 404):
             return Committed(RowVersion(0))
-        return NotCommitted(_trouble(status))
+        return NotCommitted(_trouble_of(status))
 
     async def _read(
         self, path: str, query: dict[str, str], timeout_s: float = CALL_TIMEOUT_S
@@ -228,8 +239,8 @@
                 case 410:
                     raise HistoryLostError
                 case _:
-                    raise StoreUnavailableError(_trouble(status))
-        except _Unanswered as error:
+                    raise StoreUnavailableError(_trouble_of(status))
+        except _NoReplyError as error:
             raise StoreUnavailableError(error.trouble) from None
 
     async def _call(
@@ -244,7 +255,7 @@
     ) -> tuple[int, bytes]:
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         try:
-            async with self._opened().request(
+            async with self._open_session().request(
                 method,
                 self._base + path,
                 params=query,
@@ -254,15 +265,15 @@
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError):
-            raise _Unanswered(StoreTrouble.UNREACHABLE, False) from None
+            raise _NoReplyError(StoreTrouble.UNREACHABLE, False) from None
         except (TimeoutError, aiohttp.ClientError, OSError):
-            raise _Unanswered(StoreTrouble.NO_REPLY, True) from None
+            raise _NoReplyError(StoreTrouble.NO_REPLY, True) from None
 
-    def _opened(self) -> aiohttp.ClientSession:
-        # The session is made here because it needs the running loop.
+    def _open_session(self) -> aiohttp.ClientSession:
+        # The session is created here because it needs the running event loop.
         if self._session is None:
             connector = aiohttp.TCPConnector(
-                limit=MAX_CONNECTIONS, keepalive_timeout=IDLE_S
+                limit=MAX_CONNECTIONS, keepalive_timeout=IDLE_TIMEOUT_S
             )
             self._session = aiohttp.ClientSession(
                 connector=connector,
@@ -304,11 +315,11 @@
 def _decode(body: bytes) -> _Reply:
     try:
         wire = msgspec.json.decode(body, type=_WireReply)
-        # A conflict may name rows that do not exist, without a version.
+        # A conflict may contain rows that do not exist; they have no version.
         changes = tuple(_change(row) for row in wire.rows if row.ver)
     except (msgspec.DecodeError, ValueError):
         _log.warning("store: reply not understood", bytes=len(body))
-        raise _Unanswered(StoreTrouble.NO_REPLY, True) from None
+        raise _NoReplyError(StoreTrouble.NO_REPLY, True) from None
     return _Reply(
         changes,
         tuple(wire.parts),
@@ -318,11 +329,11 @@
     )
 
 
-def _not_known(error: _Unanswered) -> NotCommitted | CommitUnknown:
-    if error.may_be_done:
+def _outcome_without_reply(error: _NoReplyError) -> NotCommitted | CommitUnknown:
+    if error.may_be_applied:
         return CommitUnknown(error.trouble)
     return NotCommitted(error.trouble)
 
 
-def _trouble(status: int) -> StoreTrouble:
+def _trouble_of(status: int) -> StoreTrouble:
     return _TROUBLE_OF_STATUS.get(status, StoreTrouble.REJECTED)
