--- a/tests/outside/__init__.py
+++ b/tests/outside/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform: store, engines, plain services."""
+"""Stand-ins for the platform (store, duty API, endpoints), and whole test sites."""
--- a/tests/outside/duties.py
+++ b/tests/outside/duties.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's interface for duties, which judges what it sees."""
+"""Stand-in for the platform's duty API, which checks the calls that it receives."""
 
 import asyncio
 import json
@@ -9,11 +9,15 @@
 
 
 class DutyStandIn:
-    """Takes calls of duties, and notes what must never come.
+    """Accepts duty calls and records violations of their rules in ``faults``.
 
-    ``answers`` holds what the next calls get: a status, ``lost`` (carried out, no
-    answer) or ``silent``; ``delay_s`` makes it slow. A holder is known by its name, as
-    each host of a site has one. ``faults`` holds each broken rule.
+    ``answers`` holds the answers to the next calls: a status, ``lost`` (executed, but
+    the connection is reset) or ``silent`` (not executed, no answer). ``delay_s`` delays
+    each answer. A holder is identified by its host name.
+
+    The rules: fencing tokens never decrease, no two holders use the same token, the
+    holder changes at most once within a lease, and a usage window is always reported
+    with the same counts.
     """
 
     def __init__(self, lease_s):
@@ -21,7 +25,7 @@
         self.answers = []
         self.delay_s = 0.0
         self.calls = []
-        self._by_subject = {}
+        self._calls_by_subject = {}
         self.usage = {}
         self.orders = []
         self.faults = []
@@ -45,7 +49,7 @@
         await self._runner.cleanup()
 
     def settings(self, **usage):
-        """Return the settings by which hosts reach it."""
+        """Return the settings with which hosts call it."""
         return {"address": self.address, "calls_per_s": 50, "usage": usage}
 
     async def _handle(self, request):
@@ -53,10 +57,10 @@
         fence = int(request.headers["X-Fencing-Token"])
         document = json.loads(await request.read())
         subject = (request.path, document.get("service"), document.get("zone"))
-        self._judge_turn(subject, holder, fence)
+        self._check_call_order(subject, holder, fence)
         answer = self.answers.pop(0) if self.answers else 200
         if answer in (200, "lost"):
-            self._take(document)
+            self._record(document)
         if answer == "lost":
             request.transport.abort()
         if answer == "silent":
@@ -64,35 +68,41 @@
         await asyncio.sleep(self.delay_s)
         return web.Response(status=answer if isinstance(answer, int) else 200)
 
-    def _judge_turn(self, subject, holder, fence):
+    def _check_call_order(self, subject, holder, fence):
         now = time.monotonic()
-        calls = self._by_subject.setdefault(subject, [])
-        for _, other, token in calls:
+        calls = self._calls_by_subject.setdefault(subject, [])
+        for _, other_holder, token in calls:
             if token > fence:
-                self.faults.append(f"{holder} sent {fence} after {other} sent {token}")
-            if token == fence and other != holder:
-                self.faults.append(f"{holder} and {other} sent {fence}")
-        turns = [holder]
-        for at, other, _ in reversed(calls):
-            if now - at > self._lease_s:
+                self.faults.append(
+                    f"{holder} sent token {fence} after {other_holder} sent {token}"
+                )
+            if token == fence and other_holder != holder:
+                self.faults.append(
+                    f"{holder} and {other_holder} both sent token {fence}"
+                )
+        holders = [holder]
+        for called_at, other_holder, _ in reversed(calls):
+            if now - called_at > self._lease_s:
                 break
-            if other != turns[-1]:
-                turns.append(other)
-        if len(turns) > 2:
-            self.faults.append(f"turns within a lease: {turns}")
+            if other_holder != holders[-1]:
+                holders.append(other_holder)
+        if len(holders) > 2:
+            self.faults.append(f"holders within one lease: {holders}")
         calls.append((now, holder, fence))
         self.calls.append((now, holder, fence))
 
-    def _take(self, document):
+    def _record(self, document):
         if "service" in document:
             order = document["service"], document["zone"], document["target_groups"]
             self.orders.append(order)
             return
         window, counts = document["window_index"], document["instance_counts"]
-        before = self.usage.setdefault(window, counts)
-        if before != counts:
-            self.faults.append(f"window {window}: {before}, then {counts}")
+        known_counts = self.usage.setdefault(window, counts)
+        if known_counts != counts:
+            self.faults.append(
+                f"window {window}: reported {known_counts}, then {counts}"
+            )
 
     def total(self, workspace):
-        """Return the requests of a workspace in all windows that were reported."""
+        """Return the number of requests of a workspace in all reported windows."""
         return sum(counts.get(workspace, 0) for counts in self.usage.values())
--- a/tests/outside/endpoints.py
+++ b/tests/outside/endpoints.py
@@ -1,4 +1,4 @@
-"""Stand-ins of endpoints: engines that generate, plain services that answer."""
+"""Stand-ins for endpoints: engines that generate, and plain services."""
 
 import asyncio
 import json
@@ -10,12 +10,13 @@
 
 
 class EndpointStandIn:
-    """What all endpoints have in common: identity, listener, a record of arrivals.
+    """Base of all endpoints: identity, HTTP server and records of requests.
 
-    ``fail_next`` holds what the next requests get: ``500``, ``full``, ``reset``,
-    ``silent``, ``truncated``, ``foreign``. A run of a request whose body is in
-    ``crash_on`` ends the whole endpoint a moment later, as a process that is killed,
-    or after so many events of a stream where ``crash_after_events`` is set.
+    ``fail_next`` holds the faults of the next requests: ``500``, ``full``, ``reset``,
+    ``silent``, ``truncated`` or ``foreign`` (the answer belongs to another request). A
+    request whose body is in ``crash_on`` crashes the endpoint like a killed process:
+    after ``crash_after_s``, or if ``crash_after_events`` is set, after that number of
+    events of a stream.
     """
 
     def __init__(self, endpoint_id):
@@ -39,7 +40,7 @@
         self._runner: Any = None
 
     async def start(self):
-        """Listen, on a free port of the loopback interface the first time."""
+        """Listen on a free loopback port, or on the port used before a crash."""
         app = web.Application(client_max_size=64 << 20, handler_args=None)
         app.router.add_route("*", "/{tail:.*}", self._handle)
         self._runner = web.AppRunner(
@@ -55,7 +56,7 @@
         return self
 
     def crash(self):
-        """End at once: nobody listens, and connections close without an answer."""
+        """Stop listening at once and reset all connections without an answer."""
         if self.has_crashed:
             return
         self.has_crashed = True
@@ -69,7 +70,7 @@
         self._crashing = asyncio.ensure_future(self._runner.cleanup())
 
     async def come_back(self, endpoint_id=None, born=None):
-        """Start again at the same address, under another name or with a later birth."""
+        """Restart after a crash at the same address, with a new name or start time."""
         await self._crashing
         self.id = endpoint_id or self.id
         self.start_again(born)
@@ -80,12 +81,12 @@
         """Stop listening."""
         await self._runner.cleanup()
 
-    def _birth(self):
-        """Return what it says of its start, if it says that."""
+    def _start_time_field(self):
+        """Return the field of the start time; empty if the endpoint reports none."""
         return {} if self.born is None else {"born": self.born}
 
     def start_again(self, born):
-        """Begin a new run under the same name: it holds and knows nothing of before."""
+        """Begin a new run under the same name, without the state of the earlier one."""
         self.born = born
 
     async def _handle(self, request):
@@ -94,7 +95,7 @@
         if expected is not None and expected != self.id:
             return web.Response(status=421, headers={"X-Instance-Id": self.id})
         if request.path.startswith("/bankrudder/"):
-            return await self._control(request, body)
+            return await self._handle_control(request, body)
         request_id = request.headers.get("X-Request-Id", "")
         self.arrival_times.append((time.monotonic(), request_id))
         self.headers.append((request_id, request.headers.copy()))
@@ -115,7 +116,7 @@
         finally:
             self.busy -= 1
 
-    async def _control(self, request, body):
+    async def _handle_control(self, request, body):
         return web.Response(status=404)
 
     async def _run(self, request, request_id, body, fault):
@@ -144,10 +145,10 @@
 
 
 class EngineStandIn(EndpointStandIn):
-    """An engine: streams of events, versions, orders.
+    """An engine, which streams events and executes version orders.
 
-    ``events`` is the length of each stream; ``cut_after`` holds, for the next runs,
-    the events after which the connection breaks.
+    ``events`` is the number of events of each stream. ``cut_after`` holds, for each of
+    the next requests, the number of events after which the connection is reset.
     """
 
     def __init__(self, endpoint_id, model, events=4):
@@ -166,7 +167,7 @@
         self.lose_order_replies = 0
         self.delay_orders = 0
         self._delayed = []
-        self._loading = False
+        self._is_loading = False
 
     def document(self, service, data_centre="north"):
         """Return its entry in the list of endpoints."""
@@ -180,30 +181,30 @@
             "cold_ms": 0,
             "sequence": self.orders_taken,
             "models": [{"name": self.model, "version": self.version}],
-            **self._birth(),
+            **self._start_time_field(),
         }
 
     def start_again(self, born):
-        """Begin a new run under the same name: it holds and knows nothing of before."""
+        """Begin a new run under the same name, without the state of the earlier one."""
         super().start_again(born)
         self.version = 1
         self.orders_taken = 0
-        self._loading = False
+        self._is_loading = False
         self._delayed = []
 
     async def carry_out_delayed(self):
-        """Carry out the orders that were delayed; return their statuses."""
+        """Execute the delayed orders; return their statuses."""
         delayed, self._delayed = self._delayed, []
-        return [self._take_order(each) for each in delayed]
+        return [self._accept_order(each) for each in delayed]
 
-    async def _control(self, request, body):
+    async def _handle_control(self, request, body):
         if request.path == "/bankrudder/report":
             return web.json_response(
                 {
                     "models": [{"name": self.model, "version": self.version}],
-                    "busy": self._loading,
+                    "busy": self._is_loading,
                     "sequence": self.orders_taken,
-                    **self._birth(),
+                    **self._start_time_field(),
                 }
             )
         order = json.loads(body)
@@ -214,25 +215,25 @@
             self._delayed.append(order)
             request.transport.abort()
             return web.Response(status=500)
-        status = self._take_order(order)
+        status = self._accept_order(order)
         if self.lose_order_replies:
             self.lose_order_replies -= 1
             request.transport.abort()
         return web.Response(status=status)
 
-    def _take_order(self, order):
-        if self._loading or order["precondition"] != self.orders_taken:
+    def _accept_order(self, order):
+        if self._is_loading or order["precondition"] != self.orders_taken:
             return 409
         if order["version"] == self.version:
             return 200
         self.orders_taken += 1
-        self._loading = True
-        asyncio.get_running_loop().call_later(self.load_s, self._load, order)
+        self._is_loading = True
+        asyncio.get_running_loop().call_later(self.load_s, self._finish_loading, order)
         return 202
 
-    def _load(self, order):
+    def _finish_loading(self, order):
         self.version = order["version"]
-        self._loading = False
+        self._is_loading = False
 
     async def _run(self, request, request_id, body, fault):
         if fault in ("500", "reset", "silent", "foreign"):
@@ -240,7 +241,7 @@
         start = int(request.headers.get("Last-Event-Id", "-1")) + 1
         if start:
             self.resumed.append(start)
-        cut = self.cut_after.pop(0) if self.cut_after else None
+        event_limit = self.cut_after.pop(0) if self.cut_after else None
         response = web.StreamResponse(
             headers={
                 "Content-Type": "text/event-stream",
@@ -257,7 +258,7 @@
             if body in self.crash_on and number - start >= crash_after:
                 self.crash()
                 await asyncio.sleep(60)
-            if cut is not None and number - start >= cut:
+            if event_limit is not None and number - start >= event_limit:
                 request.transport.abort()
                 return response
             prefix = ""
@@ -273,7 +274,7 @@
 
 
 class ServiceStandIn(EndpointStandIn):
-    """A plain service."""
+    """A plain service, which answers each request once."""
 
     def document(self, service, data_centre="north"):
         """Return its entry in the list of endpoints."""
@@ -286,5 +287,5 @@
             "state": "ready",
             "cold_ms": 0,
             "sequence": 1,
-            **self._birth(),
+            **self._start_time_field(),
         }
--- a/tests/outside/fixtures.py
+++ b/tests/outside/fixtures.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests that talk to the stand-in of the store in their own loop."""
+"""Fixtures for tests that run the store's stand-in in their own event loop."""
 
 import pytest
 
--- a/tests/outside/own_interface.py
+++ b/tests/outside/own_interface.py
@@ -1,4 +1,4 @@
-"""The project's own interface on a site: a configuration, clients, and what ran."""
+"""Helpers for the project's own RPC interface on a site: configuration and clients."""
 
 import hashlib
 import json
@@ -15,7 +15,7 @@
 
 
 RPC = {"operator_token_sha256": digest(OPERATOR_TOKEN)}
-"""Settings of the interface, beside its address."""
+"""Settings of the RPC interface without its address."""
 
 
 def caller(name, caller_class, data_classes, *roles, workspace=""):
@@ -30,9 +30,9 @@
 
 
 def document(**changes):
-    """Return a configuration: leases may be in the north only, notices anywhere."""
+    """Return a configuration that allows leases in the north only, notices anywhere."""
     contract = {"timeout_s": 3.0}
-    whole = {
+    complete_document = {
         "data_centres": [{"name": name, "region": "island"} for name in DATA_CENTRES],
         "data_classes": [
             {"name": "leases", "allowed_data_centres": ["north"]},
@@ -98,18 +98,18 @@
             },
         ],
     }
-    return json.dumps({**whole, **changes})
+    return json.dumps({**complete_document, **changes})
 
 
 async def apply(site, text=None, base=0, host=0):
-    """Apply a configuration through a host; return what became of it."""
+    """Apply a configuration through a host; return the result."""
     address = site.hosts[host].rpc_address
     async with OperatorClient(address, OPERATOR_TOKEN) as operator:
         return await operator.apply(text or document(), base)
 
 
 def client(site, name="broker", data_class="notices", hosts=None, timeout_s=8.0):
-    """Return a caller's client of some hosts; all by default."""
+    """Return a caller's client for some hosts, by default all."""
     hosts = site.hosts if hosts is None else hosts
     return Caller.from_config(
         [host.rpc_address for host in hosts],
@@ -120,11 +120,11 @@
 
 
 def trainer(site, name="wording", hosts=None):
-    """Return a trainer's client of some hosts; all by default."""
+    """Return a trainer's client for some hosts, by default all."""
     hosts = site.hosts if hosts is None else hosts
     return Trainer.from_config([host.rpc_address for host in hosts], f"{name}-token")
 
 
 def runs(site, request_id):
-    """Return how many times plain services ran a request."""
+    """Return how many times the scorers ran a request."""
     return sum(scorer.ran[request_id] for scorer in site.scorers)
--- a/tests/outside/site.py
+++ b/tests/outside/site.py
@@ -1,4 +1,4 @@
-"""A whole site on this machine: daemons as processes, and stand-ins around them."""
+"""A complete site on this machine: daemons as processes, and stand-ins around them."""
 
 import asyncio
 import json
@@ -20,18 +20,18 @@
 ENGINES = "engines"
 SCORERS = "scorers"
 HOST_NAME = "site.test"
-START_LIMIT_S = 20.0
-STOP_LIMIT_S = 15.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 15.0
 
 PROGRAM = Path(__file__).parents[2] / "src" / "bankrudder_node.py"
-SUSPENDABLE = Path(__file__).parent / "suspendable_node.py"
-ANNOUNCE_SUSPENSION = signal.SIGUSR1
-ANNOUNCED_S = 0.02
-"""Time in which a process has taken note of a signal."""
+SUSPENDABLE_PROGRAM = Path(__file__).parent / "suspendable_node.py"
+SUSPENSION_SIGNAL = signal.SIGUSR1
+SIGNAL_HANDLING_S = 0.02
+"""Time within which a process handles a signal."""
 
 
 class HostProcess:
-    """One daemon and its own gate to the store."""
+    """A daemon process and its own gate to the store."""
 
     def __init__(
         self, name, data_centre, gate, folder, rpc=None, min_readers=0, duties=None
@@ -39,7 +39,7 @@
         self.name = name
         self._rpc = rpc
         self._duties = duties
-        self._min_readers = min_readers
+        self._min_feed_hosts = min_readers
         self.gate = gate
         self.store_proxy = None
         self.is_suspendable = False
@@ -48,14 +48,14 @@
         self._process: Any = None
         self.address = own_address()
 
-        self._readiness = own_address()
+        self._readiness_address = own_address()
         self.metrics_address = own_address()
         self.rpc_address = own_address()
         self._feed_address = own_address()
 
     @property
     def log_path(self):
-        """Where the daemon's log lines go."""
+        """Path of the daemon's log."""
         return self._folder / f"{self.name}.log"
 
     def log_lines(self):
@@ -74,7 +74,7 @@
         with self.log_path.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
-                str(SUSPENDABLE if self.is_suspendable else PROGRAM),
+                str(SUSPENDABLE_PROGRAM if self.is_suspendable else PROGRAM),
                 env={**os.environ, "BANKRUDDER_SETTINGS": str(self.settings_path)},
                 stdout=log,
                 stderr=log,
@@ -82,42 +82,42 @@
 
     @property
     def settings_path(self):
-        """Where the daemon's settings are."""
+        """Path of the daemon's settings."""
         return self._folder / f"{self.name}.json"
 
     def write_settings(self, **changes):
         """Write the daemon's settings."""
-        more = {}
+        optional_settings = {}
         if self._rpc:
-            more["rpc"] = {"address": self.rpc_address, **self._rpc}
-        if self._min_readers:
-            more["feeds"] = {
+            optional_settings["rpc"] = {"address": self.rpc_address, **self._rpc}
+        if self._min_feed_hosts:
+            optional_settings["feeds"] = {
                 "address": self._feed_address,
-                "min_hosts": self._min_readers,
+                "min_hosts": self._min_feed_hosts,
             }
         if self._duties:
-            more["duties"] = self._duties
+            optional_settings["duties"] = self._duties
         settings = {
             "host": self.name,
             "data_centre": self._data_centre,
             "callers_address": self.address,
-            "readiness_address": self._readiness,
+            "readiness_address": self._readiness_address,
             "metrics_address": self.metrics_address,
             "store": {"address": self._store_address},
             "lease_ms": 1000,
             "grace_s": 8,
-            **more,
+            **optional_settings,
             **changes,
         }
         self.settings_path.write_text(json.dumps(settings))
 
     async def is_ready(self):
-        """Whether it says that it takes new connections."""
+        """Whether the daemon reports that it accepts new connections."""
         try:
             async with (
                 aiohttp.ClientSession() as session,
                 session.get(
-                    f"http://{self._readiness}/bankrudder/readiness"
+                    f"http://{self._readiness_address}/bankrudder/readiness"
                 ) as response,
             ):
                 return response.status == 200
@@ -126,30 +126,30 @@
 
     @property
     def is_running(self):
-        """Whether the daemon was started and has not ended."""
+        """Whether the daemon was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     def terminate(self):
-        """Ask the daemon to stop as planned."""
+        """Ask the daemon to shut down gracefully, without waiting for its exit."""
         self._process.terminate()
 
     async def wait_gone(self, limit_s):
-        """Wait for the daemon's end, and end it by force after a time."""
+        """Wait until the daemon exits, and kill it after `limit_s`."""
         try:
             await asyncio.wait_for(self._process.wait(), limit_s)
         except TimeoutError:
             await self.kill()
 
     def try_signal(self, number):
-        """Send a signal if the daemon runs."""
+        """Send a signal to the daemon if it is running."""
         if self.is_running:
             self._process.send_signal(number)
 
     async def suspend(self, seconds):
-        """Suspend the host: the daemon's steady clock stands still meanwhile."""
+        """Simulate a suspension of the host, which stops its monotonic clock."""
         assert self.is_suspendable
-        self.try_signal(ANNOUNCE_SUSPENSION)
-        await asyncio.sleep(ANNOUNCED_S)
+        self.try_signal(SUSPENSION_SIGNAL)
+        await asyncio.sleep(SIGNAL_HANDLING_S)
         self.try_signal(FREEZE)
         await asyncio.sleep(seconds)
         self.try_signal(THAW)
@@ -159,26 +159,39 @@
         self._process.send_signal(number)
 
     async def kill(self):
-        """End the daemon at once, as a loss of power does."""
+        """Kill the daemon at once, as a power failure would."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
 
     async def stop(self):
-        """End the daemon as planned; return its exit code."""
+        """Shut the daemon down gracefully; return its exit code."""
         self._process.terminate()
-        return await asyncio.wait_for(self._process.wait(), STOP_LIMIT_S)
+        return await asyncio.wait_for(self._process.wait(), STOP_TIMEOUT_S)
 
 
 class Site:
-    """Hosts, engines and scorers, and what callers do.
-
-    ``data_centres`` are taken in turn by the hosts, the engines and the scorers;
-    ``rpc`` holds the settings of the project's own interface beside its address;
-    from ``min_readers`` hosts on, one reads the store for the others; the first
-    ``suspendable`` hosts can be suspended; ``duties`` holds the settings of the
-    platform's interface for duties. ``key`` is shown with each call that brings none,
-    if it is not empty.
+    """Hosts, engines and scorers, and the requests of callers to them.
+
+    Attributes
+    ----------
+    key : str
+        API key of each call that has none of its own; empty to send none.
+
+    Parameters
+    ----------
+    events : int
+        Number of events of each stream of the engines.
+    data_centres : tuple of str
+        Data centres, assigned in turn to the hosts, the engines and the scorers.
+    rpc : dict or None
+        Settings of the project's own RPC interface without its address.
+    min_readers : int
+        Number of hosts from which on one host reads the store for the others.
+    suspendable : int
+        Number of hosts, counted from the first, that can be suspended.
+    duties : dict or None
+        Settings of the platform's duty API.
     """
 
     def __init__(
@@ -196,7 +209,7 @@
         self.duties = duties
         self.key = ""
         self._suspendable = suspendable
-        self._min_readers = min_readers
+        self._min_feed_hosts = min_readers
         self._data_centres = data_centres
         self._rpc = rpc
         self.rows = StoreRows()
@@ -204,38 +217,42 @@
         self.engines = []
         self.scorers = []
         self._folder = folder
-        self._sizes = (hosts, engines, events)
+        self._sizes_at_start = (hosts, engines, events)
         self._session: Any = None
 
     async def start(self, behind=None):
-        """Start all, and wait until every host is ready.
+        """Start the site and wait until every host is ready.
 
-        ``behind`` makes a proxy for an address, through which each host reaches the
-        store.
+        ``behind`` creates a proxy for an address; each host then reaches the store
+        through a proxy of its own.
         """
-        hosts, engines, events = self._sizes
+        hosts, engines, events = self._sizes_at_start
         for number in range(engines):
             engine = await EngineStandIn(f"engine-{number}", MODEL, events).start()
             self.engines.append(engine)
             self.rows.put(
-                "servers", engine.id, engine.document(ENGINES, self._place(number))
+                "servers",
+                engine.id,
+                engine.document(ENGINES, self._data_centre_of(number)),
             )
         for number in range(2):
             scorer = await ServiceStandIn(f"scorer-{number}").start()
             self.scorers.append(scorer)
             self.rows.put(
-                "servers", scorer.id, scorer.document(SCORERS, self._place(number))
+                "servers",
+                scorer.id,
+                scorer.document(SCORERS, self._data_centre_of(number)),
             )
         self.rows.put("op", "config", configuration(1))
         for number in range(hosts):
             gate = await StoreGate(self.rows).start()
             host = HostProcess(
                 f"host-{number}",
-                self._place(number),
+                self._data_centre_of(number),
                 gate,
                 self._folder,
                 self._rpc,
-                self._min_readers,
+                self._min_feed_hosts,
                 self.duties,
             )
             host.is_suspendable = number < self._suspendable
@@ -250,11 +267,11 @@
         await self.wait_ready()
         return self
 
-    def _place(self, number):
+    def _data_centre_of(self, number):
         return self._data_centres[number % len(self._data_centres)]
 
     async def stop(self):
-        """End all that was started."""
+        """Stop everything that was started."""
         for host in self.hosts:
             await host.kill()
             if host.store_proxy is not None:
@@ -268,10 +285,10 @@
     async def wait_ready(self):
         """Wait until every host is ready."""
         for host in self.hosts:
-            await until(host.is_ready, START_LIMIT_S)
+            await until(host.is_ready, START_TIMEOUT_S)
 
     async def call(self, host, method, path, *, body=b"", headers=None):
-        """Make a request of a caller; return its status, headers and body."""
+        """Send a request as a caller; return the status, headers and body."""
         async with self._session.request(
             method,
             f"http://{host.address}{path}",
@@ -281,11 +298,11 @@
             return response.status, response.headers, await response.read()
 
     def credentials(self):
-        """Return the header that shows the key."""
+        """Return the header that carries the API key, if there is one."""
         return {"Authorization": f"Bearer {self.key}"} if self.key else {}
 
     async def ask(self, host, call):
-        """Make a call of a trainer; return its status and body."""
+        """Send a trainer's call; return the status and body."""
         status, _, body = await self.call(
             host, call.method, call.path, body=call.body, headers=call.headers
         )
@@ -298,7 +315,7 @@
         return status
 
     async def read(self, host, batch_id, after=0, key=""):
-        """Read results once; return status and document."""
+        """Read results once; return the status and the document."""
         call = reading(batch_id, after, wait_ms=500).with_key(key)
         status, body = await self.ask(host, call)
         return status, json.loads(body) if status == 200 else None
@@ -309,17 +326,19 @@
         return status
 
     async def read_all(self, batch_id, count, hosts=None, limit_s=15.0, key=""):
-        """Read at the hosts in turn until all results are there; return them."""
+        """Return all results of a batch, read from the hosts in turn."""
         hosts = hosts or self.hosts
         results: list[Any] = []
         deadline = time.monotonic() + limit_s
-        turn = 0
+        attempt_count = 0
         while len(results) < count:
-            assert time.monotonic() < deadline, f"{len(results)} of {count} in time"
-            turn += 1
+            assert time.monotonic() < deadline, (
+                f"{len(results)} of {count} results within {limit_s} s"
+            )
+            attempt_count += 1
             try:
                 status, page = await self.read(
-                    hosts[turn % len(hosts)], batch_id, len(results), key
+                    hosts[attempt_count % len(hosts)], batch_id, len(results), key
                 )
             except (aiohttp.ClientError, TimeoutError):
                 status, page = 0, None
@@ -394,7 +413,7 @@
 
 
 def batch(batch_id, samples=8, min_version=1, group_size=4, names=None):
-    """Return a batch as trainers submit it; ``names`` begins its samples' names."""
+    """Return a batch as trainers submit it; ``names`` is a prefix of its sample ids."""
     names = names or batch_id
     items = [
         {
@@ -423,22 +442,22 @@
 
 
 def check_results(results, batch_id, count, events=4):
-    """Check that every sample is there once, whole, and scored."""
+    """Check that every sample has one result, which is complete and scored."""
     assert sorted(each["id"] for each in results) == sorted(
         f"{batch_id}-s{number}" for number in range(count)
     )
     for each in results:
         assert each["state"] == "succeeded"
-        whole = "\n".join(f"{each['id']}-{number}" for number in range(events))
-        assert each["text"] == whole
+        expected_text = "\n".join(f"{each['id']}-{number}" for number in range(events))
+        assert each["text"] == expected_text
         reward = each["id"].replace("-s", "-r")
         assert each["score"].endswith(f".{reward}")
 
 
-async def until(condition, limit_s=10.0, seen=lambda: ""):
-    """Wait until a condition, plain or asynchronous, holds.
+async def until(condition, limit_s=10.0, describe_state=lambda: ""):
+    """Wait until a condition, synchronous or asynchronous, is true.
 
-    ``seen`` returns what is told if it does not hold in time.
+    ``describe_state`` returns the text that is added to the error on a time-out.
     """
     deadline = time.monotonic() + limit_s
     while True:
@@ -447,7 +466,9 @@
             outcome = await outcome
         if outcome:
             return
-        assert time.monotonic() < deadline, f"not in time {seen()}"
+        assert time.monotonic() < deadline, (
+            f"not in time ({limit_s} s) {describe_state()}"
+        )
         await asyncio.sleep(0.02)
 
 
--- a/tests/outside/store.py
+++ b/tests/outside/store.py
@@ -1,7 +1,7 @@
-"""Stand-in of the platform's store: rows, feed, objects, and their faults.
+"""Stand-in for the platform's store: rows, change feed, objects and their faults.
 
-All gates serve the same rows. A host is given a gate of its own, so that the store
-can be away for it alone.
+All gates serve the same rows. Each host gets a gate of its own, so that the store can
+fail for one host alone.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 
 from aiohttp import web
 
-CLOCK_AHEAD_S = 40_000.0
-"""How far the store's steady clock is ahead of the machine's."""
+CLOCK_OFFSET_S = 40_000.0
+"""Offset of the store's steady clock from the machine's."""
 
 
 class GateMode(Enum):
-    """How a gate treats calls."""
+    """How a gate responds to calls."""
 
     OPEN = "open"
     BUSY = "busy"
@@ -30,24 +30,24 @@
 
 
 def steady_clock():
-    """Return the store's time, in seconds of no known origin."""
-    return time.monotonic() + CLOCK_AHEAD_S
+    """Return the time of the store's steady clock, in seconds."""
+    return time.monotonic() + CLOCK_OFFSET_S
 
 
 class StoreRows:
-    """The rows of all tables and all their changes; ``now_s`` is the store's clock."""
+    """The rows of all tables and their history; ``now_s`` is the store's clock."""
 
     def __init__(self):
         self.now_s = steady_clock
         self.version = 0
         self.rows = {}
         self.history = []
-        self.oldest_kept = 0
+        self.history_start = 0
         self.objects = {}
         self._changed = asyncio.Event()
 
     def commit(self, expectations, puts, removals):
-        """Apply a transaction; return the conflicting rows, None if it is applied."""
+        """Apply a transaction; return the conflicting rows, None if it was applied."""
         for key, version in expectations:
             if self.rows.get(key, (0, b""))[0] != version:
                 return [
@@ -67,7 +67,7 @@
         return None
 
     def put(self, table, key, document, part=""):
-        """Write a row without a condition, as operators and endpoints do."""
+        """Write a row without an expectation, as operators and endpoints do."""
         value = json.dumps(document).encode()
         self.commit([], [((table, part, key), value)], [])
 
@@ -76,24 +76,36 @@
         self.commit([], [], [(table, part, key)])
 
     def forget_history(self):
-        """Keep no change that was made until now."""
-        self.oldest_kept = self.version
+        """Discard the history of all changes made so far."""
+        self.history_start = self.version
 
     async def wait_changed(self, seconds):
-        """Wait for any change."""
+        """Wait until any row changes, at most for the given seconds."""
         with suppress(TimeoutError):
             await asyncio.wait_for(self._changed.wait(), seconds)
 
 
 class StoreGate:
-    """One listener of the store, with faults of its own.
-
-    ``refuses_table`` is a table that takes no writes, and those to a
-    table that was given to `hold` wait for `release`. ``lose_replies`` and
-    ``delay_commits`` count the next commits that are carried out without a reply,
-    at once or only by `carry_out_delayed`. With ``hang_replies`` commits are carried
-    out and their connections say nothing any more; a ``late_share`` of all commits is
-    delayed and its connections say nothing.
+    """One HTTP server of the store, with faults of its own.
+
+    Attributes
+    ----------
+    refuses_table : str
+        Table whose writes are refused with status 503.
+    lose_replies : int
+        Number of the next commits that are applied without a reply.
+    delay_commits : int
+        Number of the next commits that get no reply and are applied only by
+        `carry_out_delayed`.
+    hang_replies : bool
+        Whether commits are applied without a reply on a connection that stays open.
+    rejects_after_delay : bool
+        Whether commits that are not delayed are rejected with status 400.
+    garbled : bytes
+        Body of every reply, unless it is empty.
+    late_share : float
+        Share of commits that are delayed on a connection that stays open, without a
+        reply.
     """
 
     def __init__(self, rows):
@@ -106,7 +118,7 @@
         self.garbled = b""
         self.late_share = 0.0
         self.refuses_table = ""
-        self._held_table = ""
+        self._blocked_table = ""
         self._released = asyncio.Event()
         self.calls = []
         self.address = ""
@@ -131,17 +143,17 @@
         await self._runner.cleanup()
 
     def hold(self, table):
-        """Let the writes to a table wait."""
-        self._held_table = table
+        """Block writes to a table until `release`."""
+        self._blocked_table = table
         self._released.clear()
 
     def release(self):
-        """Carry out what waits, and let writes wait no more."""
-        self._held_table = ""
+        """Apply the blocked writes, and block no more."""
+        self._blocked_table = ""
         self._released.set()
 
     def carry_out_delayed(self):
-        """Carry out the commits that were delayed; tell how many were applied."""
+        """Apply the delayed commits; return how many had no conflict."""
         delayed, self._delayed = self._delayed, []
         return sum(self.rows.commit(*each) is None for each in delayed)
 
@@ -160,7 +172,7 @@
                 return self._read(request.query)
             case "rows-feed":
                 reply = await self._follow(request.query)
-                # A gate that closed meanwhile lets no change through either.
+                # The fault may have been set while the call waited for a change.
                 fault = await self._fault(request)
                 return reply if fault is None else fault
             case "rows-parts":
@@ -191,7 +203,7 @@
         removals = [_key(each) for each in document["remove"]]
         if any(key[0] == self.refuses_table for key, _ in puts):
             return web.Response(status=503)
-        if any(key[0] == self._held_table for key, _ in puts):
+        if any(key[0] == self._blocked_table for key, _ in puts):
             await self._released.wait()
         if self._rng.random() < self.late_share:
             self._delayed.append((expectations, puts, removals))
@@ -234,7 +246,7 @@
 
     async def _follow(self, query):
         after = int(query["after"])
-        if after < self.rows.oldest_kept:
+        if after < self.rows.history_start:
             return web.Response(status=410)
         deadline = asyncio.get_running_loop().time() + int(query["wait_ms"]) / 1000
         while True:
--- a/tests/outside/suspendable_node.py
+++ b/tests/outside/suspendable_node.py
@@ -1,10 +1,11 @@
 """A daemon whose host can be suspended: ``python suspendable_node.py``.
 
-While a host is suspended its steady clock stands still, while the clock that counts
-suspensions and the time of day go on. Stopped by a signal, a process finds that all
-clocks went on. So this one is told beforehand: after `ANNOUNCE` the time until the next
-`signal.SIGCONT` does not count for its timers, as they go by the steady clock. Its loop
-is asyncio's own, since the daemon's does not let its clock be replaced.
+While a host is suspended, its monotonic clock stands still; its boot-time clock and the
+time of day continue. A process that is only stopped by a signal finds that all clocks
+continued. This daemon is therefore sent `SUSPENSION_SIGNAL` before it is stopped: the
+time from then to the next `signal.SIGCONT` is left out of its event loop's clock, which
+is the monotonic one. It uses asyncio's event loop, because the clock of the loop that
+the daemon normally uses, uvloop, cannot be replaced.
 """
 
 import asyncio
@@ -17,34 +18,34 @@
 
 sys.path.insert(0, str(Path(__file__).parents[2] / "src"))
 
-ANNOUNCE = signal.SIGUSR1
+SUSPENSION_SIGNAL = signal.SIGUSR1
 
 
-# Until the loop is there, an announcement must not end the process.
-signal.signal(ANNOUNCE, signal.SIG_IGN)
+# The signal must not end the process before the event loop handles it.
+signal.signal(SUSPENSION_SIGNAL, signal.SIG_IGN)
 
 
 class SuspendableLoop(asyncio.SelectorEventLoop):
-    """A loop whose clock leaves out announced suspensions."""
+    """An event loop whose clock leaves out simulated suspensions."""
 
     def __init__(self):
-        self._left_out_s = 0.0
-        self._announced_at = None
+        self._suspended_s = 0.0
+        self._suspended_at = None
         super().__init__()
-        signal.signal(ANNOUNCE, self._announce)
-        signal.signal(signal.SIGCONT, self._resume)
+        signal.signal(SUSPENSION_SIGNAL, self._note_suspension)
+        signal.signal(signal.SIGCONT, self._note_resumption)
 
     def time(self):
-        """Return the seconds of the steady clock."""
-        return time.monotonic() - self._left_out_s
+        """Return the time of the monotonic clock of a host that was suspended."""
+        return time.monotonic() - self._suspended_s
 
-    def _announce(self, *_):
-        self._announced_at = time.monotonic()
+    def _note_suspension(self, *_):
+        self._suspended_at = time.monotonic()
 
-    def _resume(self, *_):
-        if self._announced_at is not None:
-            self._left_out_s += time.monotonic() - self._announced_at
-            self._announced_at = None
+    def _note_resumption(self, *_):
+        if self._suspended_at is not None:
+            self._suspended_s += time.monotonic() - self._suspended_at
+            self._suspended_at = None
 
 
 def _run(main):
@@ -53,7 +54,7 @@
 
 
 def main():
-    """Run the daemon on this loop."""
+    """Run the daemon on a `SuspendableLoop`."""
     uvloop.run = _run
     from bankrudder.platform import main as run_daemon
 
--- a/tests/outside/trainer_calls.py
+++ b/tests/outside/trainer_calls.py
@@ -1,10 +1,10 @@
-"""The calls of trainers as the platform spells them, in one place for all tests."""
+"""Requests of trainers in the platform's format, shared by all tests."""
 
 from typing import NamedTuple
 
 
 class Call(NamedTuple):
-    """One request; its fields are the arguments of `Site.call` after the host."""
+    """A request; its fields are the arguments of `Site.call` after the host."""
 
     method: str
     path: str
@@ -12,7 +12,7 @@
     headers: dict[str, str] | None = None
 
     def with_key(self, key: str) -> "Call":
-        """Return the call of a caller with a key of a workspace, if it has one."""
+        """Return the call with a workspace's API key; unchanged if the key is empty."""
         if not key:
             return self
         credentials = {"Authorization": f"Bearer {key}"}
@@ -25,7 +25,7 @@
 
 
 def reading(batch_id: str, after: int = 0, wait_ms: int = 0) -> Call:
-    """Return the call that reads results from a position on."""
+    """Return the call that reads results, starting at a position."""
     headers = {"X-Max-Wait": str(wait_ms)}
     return Call("GET", f"/bankrudder/lots/{batch_id}?after={after}", b"", headers)
 
