--- a/bench/explain.py
+++ b/bench/explain.py
@@ -17,7 +17,7 @@
 sys.path[:0] = [str(ROOT / "src"), str(ROOT / "tests")]
 
 from bankrudder.cli import main as command  # noqa: E402
-from outside.crashing import CRASHING, CrashingService, three_scorers  # noqa: E402
+from outside.crashing import CRASHING, CrashingService, add_third_scorer  # noqa: E402
 from outside.site import SCORERS, Site, check_results, until  # noqa: E402
 
 
@@ -67,9 +67,9 @@
 
 async def crash(site):
     """Let a request crash endpoints until it is refused; return its last id."""
-    service = CrashingService(site, SCORERS, await three_scorers(site))
+    service = CrashingService(site, SCORERS, await add_third_scorer(site))
     for number in range(4):
-        await until(lambda: service.is_whole)
+        await until(lambda: service.all_are_running)
         await asyncio.sleep(0.5)
         status, headers, body = await site.call(
             site.hosts[number % 3],
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).parents[1]
 sys.path[:0] = [str(ROOT), str(ROOT / "src"), str(ROOT / "tests")]
 
-from outside.own_interface import RPC, apply  # noqa: E402
+from outside.rpc_interface import RPC, apply  # noqa: E402
 from outside.site import ENGINES, SCORERS, Site, configuration  # noqa: E402
 from soak.clients import Caller, CrashingCaller, Trainer  # noqa: E402
 from soak.faults import (  # noqa: E402
@@ -80,7 +80,7 @@
             engines,
             EVENTS,
             rpc=RPC,
-            min_readers=MIN_READERS,
+            min_feed_hosts=MIN_READERS,
             suspendable=int(is_suspended),
         )
         has_workspaces = any(strike.kind in WORKSPACE_KINDS for strike in strikes)
@@ -165,13 +165,13 @@
     async def _start(self):
         if self.workspaces is not None:
             self.site.duties = await self.workspaces.start()
-        await self.site.start(behind=Proxy)
+        await self.site.start(proxy_factory=Proxy)
         if self.workspaces is not None:
             self.put_configuration()
             self.site.key = self.workspaces.key
         for engine in self.site.engines:
             engine.event_gap_s = self._event_gap_s
-            engine.tells_version = True
+            engine.appends_version = True
             proxy = await Proxy(engine.address).start()
             engine.on_crash.append(proxy.refuse)
             self.engine_proxies.append(proxy)
@@ -193,13 +193,15 @@
                 if scorer.has_crashed:
                     self.site.rows.remove("servers", scorer.id)
                     await asyncio.sleep(DOWN_S)
-                    await scorer.come_back(f"scorer-again-{next(self._starts)}")
+                    await scorer.restart_after_crash(
+                        f"scorer-again-{next(self._starts)}"
+                    )
                     document = scorer.document(SCORERS)
                     self.site.rows.put("servers", scorer.id, document)
             for number, engine in enumerate(self.site.engines):
                 if engine.has_crashed:
                     await asyncio.sleep(DOWN_S)
-                    await engine.come_back(born=time.time_ns() // 1_000_000)
+                    await engine.restart_after_crash(born=time.time_ns() // 1_000_000)
                     await self.engine_proxies[number].start()
                     self.list_engine(number)
             await asyncio.sleep(DOWN_S / 10)
@@ -245,7 +247,7 @@
         for endpoint in self.site.engines + self.site.scorers:
             self.history.arrivals += endpoint.arrival_times
             self._collect_crashes(endpoint)
-            for request_id, count in endpoint.ran.items():
+            for request_id, count in endpoint.run_counts.items():
                 runs = self.history.runs.get(request_id, 0)
                 self.history.runs[request_id] = runs + count
         for engine in self.site.engines:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from outside.crashing import CRASHING
-from outside.site import FREEZE, HANG_UP, THAW
+from outside.site import HANGUP_SIGNAL, PAUSE_SIGNAL, RESUME_SIGNAL
 from outside.store import GateMode
 from soak.proxy import LinkMode
 
@@ -65,19 +65,19 @@
     host = run.pick_host(strike)
     if host.is_running:
         host.terminate()
-        await host.wait_gone(9.0)
+        await host.wait_exited(9.0)
     await run.restart(host)
 
 
 async def _freeze(run, strike):
     host = run.pick_host(strike)
-    host.try_signal(FREEZE)
+    host.signal_if_running(PAUSE_SIGNAL)
     await asyncio.sleep(strike.seconds)
-    host.try_signal(THAW)
+    host.signal_if_running(RESUME_SIGNAL)
 
 
 async def _hang_up(run, strike):
-    run.pick_host(strike).try_signal(HANG_UP)
+    run.pick_host(strike).signal_if_running(HANGUP_SIGNAL)
 
 
 async def _store_gate(run, strike, mode):
@@ -117,11 +117,11 @@
     gate = run.pick_host(strike).gate
     gate.delay_commits += 2
     await asyncio.sleep(strike.seconds)
-    gate.carry_out_delayed()
+    gate.apply_delayed()
 
 
 async def _history_lost(run, strike):
-    run.site.rows.forget_history()
+    run.site.rows.discard_history()
 
 
 async def _engine_link(run, strike, mode):
@@ -133,7 +133,7 @@
 
 
 async def _engine_cuts(run, strike):
-    run.site.engines[strike.target % len(run.site.engines)].cut_after += [1, 2, 3]
+    run.site.engines[strike.target % len(run.site.engines)].reset_after += [1, 2, 3]
 
 
 async def _endpoint_fails(run, strike, how):
@@ -149,13 +149,13 @@
     engine = run.site.engines[strike.target % len(run.site.engines)]
     engine.delay_orders += 1
     await asyncio.sleep(strike.seconds)
-    await engine.carry_out_delayed()
+    await engine.apply_delayed()
 
 
 async def _engine_starts_again(run, strike):
     """Restart an engine under its name; every other time the list tells so later."""
     number = strike.target % len(run.site.engines)
-    run.site.engines[number].start_again(time.time_ns() // 1_000_000)
+    run.site.engines[number].begin_new_run(time.time_ns() // 1_000_000)
     run.engine_proxies[number].reset_all()
     if strike.target % 2:
         await asyncio.sleep(strike.seconds)
--- a/soak/keyed.py
+++ b/soak/keyed.py
@@ -11,7 +11,7 @@
     FailedError,
     NotRunError,
 )
-from outside.own_interface import client
+from outside.rpc_interface import client
 from soak.history import KeyedOutcome, KeyedSeen
 
 CALL_LIMIT_S = 4.0
--- a/tests/batches/test_repository.py
+++ b/tests/batches/test_repository.py
@@ -94,7 +94,7 @@
     gate.delay_commits = 1
     assert await repository.add_results("b1", fence, 0, [result(0)])
     await repository.set_owner("b1", fence, OTHER_OWNER)
-    assert gate.carry_out_delayed() == 0
+    assert gate.apply_delayed() == 0
 
 
 async def test_an_ended_batch_takes_no_results_and_stays_readable(repository):
--- a/tests/leases/test_lease.py
+++ b/tests/leases/test_lease.py
@@ -139,6 +139,6 @@
     holder.gate.delay_commits = 100
     await until(lambda: other.lease.is_valid, 10.0)
     fence = other.lease.fence
-    assert holder.gate.carry_out_delayed() == 0
+    assert holder.gate.apply_delayed() == 0
     await never_two(hosts, LEASE_S)
     assert other.lease.fence == fence
--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -6,7 +6,14 @@
 import pytest
 
 from outside.endpoints import EngineStandIn
-from outside.site import FREEZE, MODEL, THAW, check_results, configuration, until
+from outside.site import (
+    MODEL,
+    PAUSE_SIGNAL,
+    RESUME_SIGNAL,
+    check_results,
+    configuration,
+    until,
+)
 from outside.store import GateMode
 from outside.trainer_calls import sample_body
 
@@ -79,7 +86,7 @@
 
 async def test_runs_resume_where_an_engine_broke_off(site):
     for engine in site.engines:
-        engine.cut_after = [2, 1, 2]
+        engine.reset_after = [2, 1, 2]
     await site.submit(site.hosts[0], "b1")
     check_results(await site.read_all("b1", 8), "b1", 8)
 
@@ -106,7 +113,7 @@
     await site.submit(site.hosts[0], "b1", samples=1)
     [result] = await site.read_all("b1", 1)
     assert result["state"] == "aborted"
-    runs = sum(each.ran["b1-s0"] for each in site.engines)
+    runs = sum(each.run_counts["b1-s0"] for each in site.engines)
     assert runs == 3
 
 
@@ -125,9 +132,9 @@
     await site.submit(site.hosts[0], "b1")
     await until(lambda: any(engine.arrivals for engine in site.engines))
     owner, others = split(site)
-    owner.signal(FREEZE)
+    owner.signal(PAUSE_SIGNAL)
     results = await site.read_all("b1", 8, others)
-    owner.signal(THAW)
+    owner.signal(RESUME_SIGNAL)
     await asyncio.sleep(1.0)
     assert await site.read_all("b1", 8) == results
     check_results(results, "b1", 8, events=20)
@@ -165,7 +172,7 @@
     results = await site.read_all("b1", 2, others)
     check_results(results, "b1", 2, events=150)
     # The events before the stop were not generated again.
-    runs = sum(sum(each.ran.values()) for each in site.engines)
+    runs = sum(sum(each.run_counts.values()) for each in site.engines)
     assert runs == 4
 
 
@@ -175,7 +182,7 @@
     assert await site.submit(site.hosts[0], "b1") == 202
     gate.delay_commits = 3
     results = await site.read_all("b1", 8)
-    gate.carry_out_delayed()
+    gate.apply_delayed()
     await asyncio.sleep(0.3)
     assert await site.read_all("b1", 8) == results
     check_results(results, "b1", 8)
@@ -255,7 +262,7 @@
     document["routes"][0]["service"] = "others"
     site.rows.put("op", "config", document)
     check_results(await site.read_all("b1", 4), "b1", 4)
-    assert sum(moved.ran.values()) == 4
+    assert sum(moved.run_counts.values()) == 4
 
 
 async def test_samples_without_a_route_are_aborted(site):
--- a/tests/node/test_calls.py
+++ b/tests/node/test_calls.py
@@ -15,7 +15,7 @@
 
 
 def runs(site, request_id="q1"):
-    return sum(each.ran[request_id] for each in site.scorers)
+    return sum(each.run_counts[request_id] for each in site.scorers)
 
 
 async def test_an_answer_is_passed_on_unchanged(site):
@@ -104,7 +104,7 @@
     with pytest.raises(asyncio.TimeoutError):
         async with asyncio.timeout(0.05):
             await call(site, "/once/1", time_left="9000")
-    await until(lambda: any(each.broken_off["q1"] for each in site.scorers), 0.6)
+    await until(lambda: any(each.cancelled_runs["q1"] for each in site.scorers), 0.6)
 
 
 async def test_a_route_is_answered_on_time(site):
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -24,8 +24,8 @@
 from bankrudder.client import new_key
 from bankrudder.exceptions import BankrudderError
 from bankrudder.failures import FailureKind, FailureReason
-from outside.crashing import CRASHING, CrashingService, three_scorers
-from outside.own_interface import RPC, apply, client
+from outside.crashing import CRASHING, CrashingService, add_third_scorer
+from outside.rpc_interface import RPC, apply, client
 from outside.site import ENGINES, SCORERS, Site, batch, until
 from outside.store import GateMode
 from outside.trainer_calls import submission
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 async def desk(site, services):
-    return services(site, SCORERS, await three_scorers(site))
+    return services(site, SCORERS, await add_third_scorer(site))
 
 
 numbers = itertools.count()
@@ -76,7 +76,7 @@
     """Ask at the hosts in turn, each time before a whole service; return statuses."""
     statuses = []
     for number in range(visits):
-        await until(lambda: service.is_whole)
+        await until(lambda: service.all_are_running)
         await asyncio.sleep(0.5)
         status, _, _ = await ask(site, number, path)
         statuses.append(status)
@@ -106,13 +106,13 @@
     service = (
         services(site, ENGINES, site.engines)
         if path == "/stream/1"
-        else services(site, SCORERS, await three_scorers(site))
+        else services(site, SCORERS, await add_third_scorer(site))
     )
     for endpoint in service.endpoints:
         # Some endpoints go on with a request whose connection closed.
         endpoint.crash_after_s = 0.1
     for number in range(VISITS):
-        await until(lambda: service.is_whole)
+        await until(lambda: service.all_are_running)
         await asyncio.sleep(0.5)
         with suppress(TimeoutError):
             async with asyncio.timeout(0.05):
@@ -124,7 +124,7 @@
 @pytest.mark.parametrize("path", ["/once/1", "/stream/1", "/resumable/1"])
 async def test_so_is_one_of_another_kind(site, services, path):
     service = (
-        services(site, SCORERS, await three_scorers(site))
+        services(site, SCORERS, await add_third_scorer(site))
         if path == "/once/1"
         else services(site, ENGINES, site.engines)
     )
@@ -147,7 +147,7 @@
 
 
 async def test_so_is_a_reward_call(site, services):
-    scorers = services(site, SCORERS, await three_scorers(site))
+    scorers = services(site, SCORERS, await add_third_scorer(site))
     document = batch("b1")
     document["items"][0]["scorer"]["body"] = base64.b64encode(CRASHING).decode()
     await site.ask(site.hosts[0], submission("b1", json.dumps(document).encode()))
@@ -157,18 +157,18 @@
 
 
 async def test_endpoints_that_come_back_under_their_names_are_counted(site, services):
-    desk = services(site, SCORERS, await three_scorers(site), by_name=True)
+    desk = services(site, SCORERS, await add_third_scorer(site), keeps_names=True)
     await asyncio.sleep(0.5)
     await visit(site, desk)
     assert desk.runs <= MOST_CRASHES
 
 
 async def test_hosts_that_are_told_by_another_host_know_of_it(tmp_path, services):
-    site = Site(tmp_path, min_readers=2)
+    site = Site(tmp_path, min_feed_hosts=2)
     try:
         await site.start()
         await asyncio.sleep(1.5)
-        desk = services(site, SCORERS, await three_scorers(site))
+        desk = services(site, SCORERS, await add_third_scorer(site))
         await visit(site, desk)
         assert desk.runs <= MOST_CRASHES
     finally:
@@ -192,7 +192,7 @@
     for host in site.hosts:
         host.gate.mode = GateMode.BUSY
     for _ in range(3):
-        await until(lambda: desk.is_whole)
+        await until(lambda: desk.all_are_running)
         await ask(site, host=0)
     for host in site.hosts:
         host.gate.mode = GateMode.OPEN
@@ -212,13 +212,13 @@
         body = f"beside {number}".encode()
         status, _, _ = await ask(site, number, body=body)
         if status != 200:
-            await until(lambda: desk.is_whole)
+            await until(lambda: desk.all_are_running)
             await asyncio.sleep(0.6)
             status, _, _ = await ask(site, number + 1, body=body)
         statuses.append(status)
 
     for _ in range(3):
-        await until(lambda: desk.is_whole)
+        await until(lambda: desk.all_are_running)
         await asyncio.sleep(0.5)
         calls = [beside(number) for number in range(6)]
         await asyncio.gather(ask(site), *calls)
@@ -232,11 +232,11 @@
     try:
         await site.start()
         await apply(site)
-        desk = services(site, SCORERS, await three_scorers(site))
+        desk = services(site, SCORERS, await add_third_scorer(site))
         keys = [new_key() for _ in range(5)]
         failures = []
         for key in keys:
-            await until(lambda: desk.is_whole)
+            await until(lambda: desk.all_are_running)
             await asyncio.sleep(0.5)
             failures.append(await _failure(site, key))
         assert desk.runs == MOST_CRASHES
@@ -286,9 +286,9 @@
 
 
 async def test_a_request_cut_by_planned_stops_is_not_refused(site, services):
-    desk = services(site, SCORERS, await three_scorers(site))
+    desk = services(site, SCORERS, await add_third_scorer(site))
     for number in range(4):
-        await until(lambda: desk.is_whole)
+        await until(lambda: desk.all_are_running)
         await asyncio.sleep(0.5)
         for scorer in site.scorers:
             scorer.delay_s = 1.0
@@ -303,7 +303,7 @@
         for scorer in site.scorers:
             scorer.crash()
         assert (await asked)[0] == 502
-    await until(lambda: desk.is_whole)
+    await until(lambda: desk.all_are_running)
     await asyncio.sleep(0.5)
     for scorer in site.scorers:
         scorer.delay_s = 0.0
@@ -314,10 +314,10 @@
     # Twice it is there when an endpoint ends, again and again, and is answered between.
     for number in range(3):
         for _ in range(2):
-            await until(lambda: desk.is_whole)
+            await until(lambda: desk.all_are_running)
             await asyncio.sleep(0.5)
             await _ends_under(site, number)
-        await until(lambda: desk.is_whole)
+        await until(lambda: desk.all_are_running)
         await asyncio.sleep(0.5)
         assert (await ask(site, number, "/once/1", body=BLAMELESS))[0] == 200
 
@@ -353,7 +353,7 @@
         scorer.crash()
         scorer.delay_s = 0.0
     assert {(await each)[0] for each in asked} == {502}
-    await until(lambda: desk.is_whole)
+    await until(lambda: desk.all_are_running)
     await asyncio.sleep(0.5)
     for host in range(3):
         assert (await ask(site, host, "/once/1", body=BLAMELESS))[0] == 200
--- a/tests/node/test_fault_table.py
+++ b/tests/node/test_fault_table.py
@@ -12,7 +12,7 @@
 import pytest
 from soak.history import BatchSeen, History, violations
 
-from outside.site import FREEZE, THAW, Site, batch, until
+from outside.site import PAUSE_SIGNAL, RESUME_SIGNAL, Site, batch, until
 from outside.store import GateMode
 from outside.trainer_calls import ending, reading, submission
 
@@ -31,9 +31,9 @@
 
 
 async def freeze(site, host):
-    host.signal(FREEZE)
+    host.signal(PAUSE_SIGNAL)
     await asyncio.sleep(FAULT_S)
-    host.signal(THAW)
+    host.signal(RESUME_SIGNAL)
 
 
 async def stop(site, host):
@@ -69,11 +69,11 @@
     host.gate.late_share = 0.5
     await asyncio.sleep(FAULT_S)
     host.gate.late_share = 0.0
-    host.gate.carry_out_delayed()
+    host.gate.apply_delayed()
 
 
 async def history_lost(site, host):
-    site.rows.forget_history()
+    site.rows.discard_history()
 
 
 FAULTS = {
@@ -104,7 +104,7 @@
         await site.start()
         for engine in site.engines:
             engine.event_gap_s = EVENT_GAP_S
-            engine.tells_version = True
+            engine.appends_version = True
         yield site
     finally:
         await site.stop()
--- a/tests/node/test_feeds.py
+++ b/tests/node/test_feeds.py
@@ -5,9 +5,9 @@
 import pytest
 
 from outside.site import (
-    FREEZE,
+    PAUSE_SIGNAL,
+    RESUME_SIGNAL,
     SCORERS,
-    THAW,
     Site,
     check_results,
     configuration,
@@ -22,7 +22,7 @@
 @pytest.fixture
 async def site(tmp_path):
     """Five hosts, one of which reads for the other four."""
-    site = Site(tmp_path, hosts=5, min_readers=3)
+    site = Site(tmp_path, hosts=5, min_feed_hosts=3)
     try:
         await site.start()
         await until(lambda: reader_of(site) is not None)
@@ -110,7 +110,7 @@
         case "kill":
             await reader.kill()
         case "freeze":
-            reader.signal(FREEZE)
+            reader.signal(PAUSE_SIGNAL)
         case "cut":
             reader.gate.mode = GateMode.SILENT
         case "stop":
@@ -126,7 +126,7 @@
     assert await site.submit(others[0], "b1") == 202
     check_results(await site.read_all("b1", 8, others), "b1", 8)
     if fault == "freeze":
-        reader.signal(THAW)
+        reader.signal(RESUME_SIGNAL)
     if fault == "cut":
         reader.gate.mode = GateMode.OPEN
 
--- a/tests/node/test_observing.py
+++ b/tests/node/test_observing.py
@@ -8,7 +8,7 @@
 import aiohttp
 import pytest
 
-from outside.site import HANG_UP, PROGRAM, until
+from outside.site import HANGUP_SIGNAL, PROGRAM, until
 
 
 async def metrics(host):
@@ -52,10 +52,10 @@
 async def test_settings_are_reloaded_and_wrong_ones_passed_over(site):
     host = site.hosts[0]
     host.settings_path.write_text("{}")
-    host.signal(HANG_UP)
+    host.signal(HANGUP_SIGNAL)
     await until(lambda: "node: wrong settings, the ones in force stay" in events(host))
     host.write_settings(grace_s=5)
-    host.signal(HANG_UP)
+    host.signal(HANGUP_SIGNAL)
     await until(lambda: "node: settings reloaded" in events(host))
     assert await host.is_ready()
 
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -26,7 +26,7 @@
     await load_in_first_runs(site)
     # The restart is within a heartbeat: the entry never vanishes.
     for engine in site.engines:
-        engine.start_again(9)
+        engine.begin_new_run(9)
         list_again(site, engine, ENGINES)
     await site.submit(site.hosts[0], "b1", min_version=2)
     check_results(await site.read_all("b1", 8), "b1", 8)
@@ -36,7 +36,7 @@
 async def test_a_restart_that_only_the_engine_itself_tells_of(site):
     await load_in_first_runs(site)
     for engine in site.engines:
-        engine.start_again(9)
+        engine.begin_new_run(9)
     site.name_version(3)
     await until(lambda: all(engine.version == 3 for engine in site.engines))
 
@@ -56,14 +56,14 @@
             headers={"X-Request-Id": "once-1", "X-Request-Deadline": "5000"},
         )
     )
-    await until(lambda: any(scorer.ran["once-1"] for scorer in site.scorers))
+    await until(lambda: any(scorer.run_counts["once-1"] for scorer in site.scorers))
     for scorer in site.scorers:
-        scorer.start_again(9)
+        scorer.begin_new_run(9)
         list_again(site, scorer, SCORERS)
     status, _, _ = await asked
     assert status == 502
     assert time.monotonic() - began < CRASH_LIMIT_S
-    assert sum(scorer.ran["once-1"] for scorer in site.scorers) == 1
+    assert sum(scorer.run_counts["once-1"] for scorer in site.scorers) == 1
 
 
 async def test_a_call_that_may_be_repeated_goes_elsewhere_at_once(site):
@@ -83,8 +83,8 @@
         )
     )
     # Both are asked, the second one as a hedge, and neither answers.
-    await until(lambda: all(scorer.ran["again-1"] for scorer in site.scorers))
-    silent.start_again(9)
+    await until(lambda: all(scorer.run_counts["again-1"] for scorer in site.scorers))
+    silent.begin_new_run(9)
     list_again(site, silent, SCORERS)
     status, _, body = await asked
     assert (status, body) == (200, b"answer to x")
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -18,7 +18,7 @@
 
 
 def runs(site):
-    return sum(engine.ran["q1"] for engine in site.engines)
+    return sum(engine.run_counts["q1"] for engine in site.engines)
 
 
 async def test_a_stream_is_passed_on_whole(site):
@@ -29,7 +29,7 @@
 
 async def test_a_resumable_stream_goes_on_at_another_endpoint(site):
     for engine in site.engines:
-        engine.cut_after = [2]
+        engine.reset_after = [2]
     status, headers, body = await call(site, "/resumable/1")
     assert (status, body) == (200, whole())
     assert runs(site) > 1
@@ -39,7 +39,7 @@
 
 async def test_another_stream_ends_plainly_broken_and_is_run_once(site):
     for engine in site.engines:
-        engine.cut_after = [2]
+        engine.reset_after = [2]
     with pytest.raises(aiohttp.ClientError):
         await call(site, "/stream/1")
     assert runs(site) == 1
@@ -76,7 +76,7 @@
     with pytest.raises(asyncio.TimeoutError):
         async with asyncio.timeout(0.5):
             await call(site, "/stream/1")
-    await until(lambda: any(each.broken_off["q1"] for each in site.engines), 0.6)
+    await until(lambda: any(each.cancelled_runs["q1"] for each in site.engines), 0.6)
 
 
 @pytest.mark.parametrize("path", ["/stream/1", "/resumable/1"])
--- a/tests/node/test_suspended.py
+++ b/tests/node/test_suspended.py
@@ -83,9 +83,9 @@
             headers={"X-Request-Id": "q1", "X-Request-Deadline": "1000"},
         )
     )
-    await until(lambda: any(scorer.ran["q1"] for scorer in site.scorers))
+    await until(lambda: any(scorer.run_counts["q1"] for scorer in site.scorers))
     await site.hosts[0].suspend(2.0)
-    sent = sum(scorer.ran["q1"] for scorer in site.scorers)
+    sent = sum(scorer.run_counts["q1"] for scorer in site.scorers)
     status, _, _ = await asked
     assert status == 504
-    assert sum(scorer.ran["q1"] for scorer in site.scorers) == sent
+    assert sum(scorer.run_counts["q1"] for scorer in site.scorers) == sent
--- a/tests/node/test_usage.py
+++ b/tests/node/test_usage.py
@@ -6,7 +6,7 @@
 import pytest
 
 from outside.duties import DutyStandIn
-from outside.site import FREEZE, THAW, Site, configuration, until
+from outside.site import PAUSE_SIGNAL, RESUME_SIGNAL, Site, configuration, until
 from outside.store import GateMode
 
 LEASE_S = 1.0
@@ -106,9 +106,9 @@
 async def test_a_frozen_holder_sends_nothing_out_of_turn(site, platform):
     for _ in range(2):
         holder = holder_of(site, platform)
-        holder.signal(FREEZE)
+        holder.signal(PAUSE_SIGNAL)
         await until(lambda holder=holder: holder_of(site, platform) is not holder, 15)
-        holder.signal(THAW)
+        holder.signal(RESUME_SIGNAL)
         await asyncio.sleep(2 * LEASE_S)
 
 
--- a/tests/node/test_weights.py
+++ b/tests/node/test_weights.py
@@ -27,7 +27,7 @@
     site.engines[0].delay_orders = 1
     site.name_version(2)
     await until(lambda: all(engine.version == 2 for engine in site.engines))
-    assert await site.engines[0].carry_out_delayed() == [409]
+    assert await site.engines[0].apply_delayed() == [409]
 
 
 async def test_another_host_gives_orders_when_the_holder_is_killed(site):
--- a/tests/node/test_workspaces.py
+++ b/tests/node/test_workspaces.py
@@ -145,8 +145,8 @@
 
 
 async def test_the_resume_of_a_stream_tells_the_workspace(shared):
-    shared.engines[0].cut_after = [2]
-    shared.engines[1].cut_after = [2]
+    shared.engines[0].reset_after = [2]
+    shared.engines[1].reset_after = [2]
     assert (await call(shared, "south-1", "/resumable/1"))[0] == 200
     seen = told(shared.engines)
     assert len(seen) >= 2
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("path", ["/once/1", "/stream/1", "/rollout/all"])
 async def test_a_request_without_a_known_key_does_not_run(shared, key, path):
     assert (await call(shared, key, path))[0] == 401
-    assert not any(each.ran for each in shared.scorers + shared.engines)
+    assert not any(each.run_counts for each in shared.scorers + shared.engines)
 
 
 @pytest.mark.parametrize(
--- a/tests/outside/crashing.py
+++ b/tests/outside/crashing.py
@@ -17,20 +17,20 @@
 class CrashingService:
     """Endpoints of one service that crash on a request and restart after a delay.
 
-    With ``by_name`` a restarted endpoint keeps its name and has a later start time, as
-    some endpoints of the platform do; otherwise it gets a new name.
+    With ``keeps_names`` a restarted endpoint keeps its name and has a later start time,
+    as some endpoints of the platform do; otherwise it gets a new name.
     """
 
-    def __init__(self, site, service, endpoints, *, by_name=False):
+    def __init__(self, site, service, endpoints, *, keeps_names=False):
         self.endpoints = endpoints
         self._site = site
         self._service = service
-        self._keeps_names = by_name
+        self._keeps_names = keeps_names
         self._restart_numbers = itertools.count(1)
         self._restart_task = asyncio.ensure_future(self._restart_crashed())
         for endpoint in endpoints:
             endpoint.crash_on.add(CRASHING)
-            if by_name:
+            if keeps_names:
                 endpoint.born = 1
                 self._add_to_list(endpoint)
 
@@ -47,7 +47,7 @@
         )
 
     @property
-    def is_whole(self):
+    def all_are_running(self):
         """Whether all endpoints are running."""
         return not any(each.has_crashed for each in self.endpoints)
 
@@ -61,10 +61,10 @@
     async def _restart(self, endpoint):
         await asyncio.sleep(DOWNTIME_S)
         if self._keeps_names:
-            await endpoint.come_back(born=time.time_ns() // 1_000_000)
+            await endpoint.restart_after_crash(born=time.time_ns() // 1_000_000)
         else:
             self._site.rows.remove("servers", endpoint.id)
-            await endpoint.come_back(
+            await endpoint.restart_after_crash(
                 f"{self._service}-again-{next(self._restart_numbers)}"
             )
         self._add_to_list(endpoint)
@@ -73,7 +73,7 @@
         self._site.rows.put("servers", endpoint.id, endpoint.document(self._service))
 
 
-async def three_scorers(site):
+async def add_third_scorer(site):
     """Add a third scorer to a site's two, and return all three."""
     third = await ServiceStandIn("scorer-2").start()
     site.scorers.append(third)
--- a/tests/outside/endpoints.py
+++ b/tests/outside/endpoints.py
@@ -25,8 +25,8 @@
         self.arrivals = []
         self.arrival_times = []
         self.headers = []
-        self.ran: Counter[str] = Counter()
-        self.broken_off: Counter[str] = Counter()
+        self.run_counts: Counter[str] = Counter()
+        self.cancelled_runs: Counter[str] = Counter()
         self.fail_next = []
         self.delay_s = 0.0
         self.born = None
@@ -69,11 +69,11 @@
                 connection.transport.abort()
         self._crashing = asyncio.ensure_future(self._runner.cleanup())
 
-    async def come_back(self, endpoint_id=None, born=None):
+    async def restart_after_crash(self, endpoint_id=None, born=None):
         """Restart after a crash at the same address, with a new name or start time."""
         await self._crashing
         self.id = endpoint_id or self.id
-        self.start_again(born)
+        self.begin_new_run(born)
         self.has_crashed = False
         await self.start()
 
@@ -85,7 +85,7 @@
         """Return the field of the start time; empty if the endpoint reports none."""
         return {} if self.born is None else {"born": self.born}
 
-    def start_again(self, born):
+    def begin_new_run(self, born):
         """Begin a new run under the same name, without the state of the earlier one."""
         self.born = born
 
@@ -103,7 +103,7 @@
         fault = self.fail_next.pop(0) if self.fail_next else ""
         if fault == "full":
             return web.Response(status=503, headers={"X-Not-Executed": "1"})
-        self.ran[request_id] += 1
+        self.run_counts[request_id] += 1
         self.busy += 1
         try:
             if body in self.crash_on and self.crash_after_events is None:
@@ -111,7 +111,7 @@
                 await asyncio.sleep(60)
             return await self._run(request, request_id, body, fault)
         except asyncio.CancelledError:
-            self.broken_off[request_id] += 1
+            self.cancelled_runs[request_id] += 1
             raise
         finally:
             self.busy -= 1
@@ -147,8 +147,8 @@
 class EngineStandIn(EndpointStandIn):
     """An engine, which streams events and executes version orders.
 
-    ``events`` is the number of events of each stream. ``cut_after`` holds, for each of
-    the next requests, the number of events after which the connection is reset.
+    ``events`` is the number of events of each stream. ``reset_after`` holds, for each
+    of the next requests, the number of events after which the connection is reset.
     """
 
     def __init__(self, endpoint_id, model, events=4):
@@ -157,11 +157,11 @@
         self.version = 1
         self.events = events
         self.event_gap_s = 0.002
-        self.cut_after = []
+        self.reset_after = []
         self.resumed = []
         self.orders = []
         self.order_times = []
-        self.tells_version = False
+        self.appends_version = False
         self.orders_taken = 0
         self.load_s = 0.05
         self.lose_order_replies = 0
@@ -184,15 +184,15 @@
             **self._start_time_field(),
         }
 
-    def start_again(self, born):
+    def begin_new_run(self, born):
         """Begin a new run under the same name, without the state of the earlier one."""
-        super().start_again(born)
+        super().begin_new_run(born)
         self.version = 1
         self.orders_taken = 0
         self._is_loading = False
         self._delayed = []
 
-    async def carry_out_delayed(self):
+    async def apply_delayed(self):
         """Execute the delayed orders; return their statuses."""
         delayed, self._delayed = self._delayed, []
         return [self._accept_order(each) for each in delayed]
@@ -241,7 +241,7 @@
         start = int(request.headers.get("Last-Event-Id", "-1")) + 1
         if start:
             self.resumed.append(start)
-        event_limit = self.cut_after.pop(0) if self.cut_after else None
+        event_limit = self.reset_after.pop(0) if self.reset_after else None
         response = web.StreamResponse(
             headers={
                 "Content-Type": "text/event-stream",
@@ -266,7 +266,7 @@
                 version = self.version
                 prefix = f"x-weight-versions: {version}\n"
             data = f"{request_id}-{number}"
-            if self.tells_version:
+            if self.appends_version:
                 data += f"-v{version}"
             event = f"{prefix}id: {number}\ndata: {data}\n\n"
             await response.write(event.encode())
--- a/tests/outside/own_interface.py
+++ b/tests/outside/rpc_interface.py
@@ -127,4 +127,4 @@
 
 def runs(site, request_id):
     """Return how many times the scorers ran a request."""
-    return sum(scorer.ran[request_id] for scorer in site.scorers)
+    return sum(scorer.run_counts[request_id] for scorer in site.scorers)
--- a/tests/outside/site.py
+++ b/tests/outside/site.py
@@ -26,6 +26,8 @@
 PROGRAM = Path(__file__).parents[2] / "src" / "bankrudder_node.py"
 SUSPENDABLE_PROGRAM = Path(__file__).parent / "suspendable_node.py"
 SUSPENSION_SIGNAL = signal.SIGUSR1
+"""Signal that announces a simulated suspension to `suspendable_node`."""
+
 SIGNAL_HANDLING_S = 0.02
 """Time within which a process handles a signal."""
 
@@ -34,12 +36,12 @@
     """A daemon process and its own gate to the store."""
 
     def __init__(
-        self, name, data_centre, gate, folder, rpc=None, min_readers=0, duties=None
+        self, name, data_centre, gate, folder, rpc=None, min_feed_hosts=0, duties=None
     ):
         self.name = name
         self._rpc = rpc
         self._duties = duties
-        self._min_feed_hosts = min_readers
+        self._min_feed_hosts = min_feed_hosts
         self.gate = gate
         self.store_proxy = None
         self.is_suspendable = False
@@ -133,14 +135,14 @@
         """Ask the daemon to shut down gracefully, without waiting for its exit."""
         self._process.terminate()
 
-    async def wait_gone(self, limit_s):
+    async def wait_exited(self, limit_s):
         """Wait until the daemon exits, and kill it after `limit_s`."""
         try:
             await asyncio.wait_for(self._process.wait(), limit_s)
         except TimeoutError:
             await self.kill()
 
-    def try_signal(self, number):
+    def signal_if_running(self, number):
         """Send a signal to the daemon if it is running."""
         if self.is_running:
             self._process.send_signal(number)
@@ -148,11 +150,11 @@
     async def suspend(self, seconds):
         """Simulate a suspension of the host, which stops its monotonic clock."""
         assert self.is_suspendable
-        self.try_signal(SUSPENSION_SIGNAL)
+        self.signal_if_running(SUSPENSION_SIGNAL)
         await asyncio.sleep(SIGNAL_HANDLING_S)
-        self.try_signal(FREEZE)
+        self.signal_if_running(PAUSE_SIGNAL)
         await asyncio.sleep(seconds)
-        self.try_signal(THAW)
+        self.signal_if_running(RESUME_SIGNAL)
 
     def signal(self, number):
         """Send a signal to the daemon."""
@@ -186,7 +188,7 @@
         Data centres, assigned in turn to the hosts, the engines and the scorers.
     rpc : dict or None
         Settings of the project's own RPC interface without its address.
-    min_readers : int
+    min_feed_hosts : int
         Number of hosts from which on one host reads the store for the others.
     suspendable : int
         Number of hosts, counted from the first, that can be suspended.
@@ -202,14 +204,14 @@
         events=4,
         data_centres=("north",),
         rpc=None,
-        min_readers=0,
+        min_feed_hosts=0,
         suspendable=0,
         duties=None,
     ):
         self.duties = duties
         self.key = ""
         self._suspendable = suspendable
-        self._min_feed_hosts = min_readers
+        self._min_feed_hosts = min_feed_hosts
         self._data_centres = data_centres
         self._rpc = rpc
         self.rows = StoreRows()
@@ -220,11 +222,11 @@
         self._sizes_at_start = (hosts, engines, events)
         self._session: Any = None
 
-    async def start(self, behind=None):
+    async def start(self, proxy_factory=None):
         """Start the site and wait until every host is ready.
 
-        ``behind`` creates a proxy for an address; each host then reaches the store
-        through a proxy of its own.
+        ``proxy_factory`` creates a proxy for an address; each host then reaches the
+        store through a proxy of its own.
         """
         hosts, engines, events = self._sizes_at_start
         for number in range(engines):
@@ -256,8 +258,8 @@
                 self.duties,
             )
             host.is_suspendable = number < self._suspendable
-            if behind is not None:
-                host.store_proxy = await behind(gate.address).start()
+            if proxy_factory is not None:
+                host.store_proxy = await proxy_factory(gate.address).start()
             await host.start()
             self.hosts.append(host)
         self._session = aiohttp.ClientSession(
@@ -472,6 +474,6 @@
         await asyncio.sleep(0.02)
 
 
-FREEZE = signal.SIGSTOP
-THAW = signal.SIGCONT
-HANG_UP = signal.SIGHUP
+PAUSE_SIGNAL = signal.SIGSTOP
+RESUME_SIGNAL = signal.SIGCONT
+HANGUP_SIGNAL = signal.SIGHUP
--- a/tests/outside/store.py
+++ b/tests/outside/store.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's store: rows, change feed, objects and their faults.
 
-All gates serve the same rows. Each host gets a gate of its own, so that the store can
-fail for one host alone.
+A gate is one HTTP server of the store. All gates serve the same rows; each host gets a
+gate of its own, so that the store can fail for one host alone.
 """
 
 import asyncio
@@ -75,7 +75,7 @@
         """Remove a row."""
         self.commit([], [], [(table, part, key)])
 
-    def forget_history(self):
+    def discard_history(self):
         """Discard the history of all changes made so far."""
         self.history_start = self.version
 
@@ -86,7 +86,7 @@
 
 
 class StoreGate:
-    """One HTTP server of the store, with faults of its own.
+    """An HTTP server of the store, with faults of its own.
 
     Attributes
     ----------
@@ -96,12 +96,12 @@
         Number of the next commits that are applied without a reply.
     delay_commits : int
         Number of the next commits that get no reply and are applied only by
-        `carry_out_delayed`.
+        `apply_delayed`.
     hang_replies : bool
         Whether commits are applied without a reply on a connection that stays open.
     rejects_after_delay : bool
         Whether commits that are not delayed are rejected with status 400.
-    garbled : bytes
+    garbled_reply : bytes
         Body of every reply, unless it is empty.
     late_share : float
         Share of commits that are delayed on a connection that stays open, without a
@@ -115,7 +115,7 @@
         self.delay_commits = 0
         self.hang_replies = False
         self.rejects_after_delay = False
-        self.garbled = b""
+        self.garbled_reply = b""
         self.late_share = 0.0
         self.refuses_table = ""
         self._blocked_table = ""
@@ -152,7 +152,7 @@
         self._blocked_table = ""
         self._released.set()
 
-    def carry_out_delayed(self):
+    def apply_delayed(self):
         """Apply the delayed commits; return how many had no conflict."""
         delayed, self._delayed = self._delayed, []
         return sum(self.rows.commit(*each) is None for each in delayed)
@@ -162,8 +162,8 @@
         self.calls.append((request.method, request.path, dict(request.query)))
         if (fault := await self._fault(request)) is not None:
             return fault
-        if self.garbled:
-            return web.Response(body=self.garbled)
+        if self.garbled_reply:
+            return web.Response(body=self.garbled_reply)
         name = request.path.removeprefix("/bankrudder/")
         match name.partition("/")[0]:
             case "rows-tx":
--- a/tests/rpc/conftest.py
+++ b/tests/rpc/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from outside.own_interface import DATA_CENTRES, RPC, apply
+from outside.rpc_interface import DATA_CENTRES, RPC, apply
 from outside.site import Site
 
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -13,7 +13,7 @@
     OutcomeUnknownError,
 )
 from bankrudder.failures import FailureReason
-from outside.own_interface import client, runs
+from outside.rpc_interface import client, runs
 from outside.site import until
 from outside.store import GateMode
 
@@ -207,7 +207,7 @@
         call = asyncio.ensure_future(caller.call("desk", b"order", key=key))
         await until(lambda: runs(site, key) == 1)
         call.cancel()
-        await until(lambda: sum(each.broken_off[key] for each in site.scorers) == 1)
+        await until(lambda: sum(each.cancelled_runs[key] for each in site.scorers) == 1)
         with pytest.raises(OutcomeUnknownError):
             await caller.call("desk", b"order", key=key)
     assert runs(site, key) == 1
@@ -220,7 +220,7 @@
     setattr(host.gate, attribute, 2)
     async with client(site, hosts=[host]) as caller:
         answer = await caller.call("desk", b"order", key=key)
-        host.gate.carry_out_delayed()
+        host.gate.apply_delayed()
         again = await caller.call("desk", b"order", key=key)
     assert answer.data == again.data == b"answer to order"
     assert runs(site, key) == 1
@@ -240,7 +240,7 @@
 
 async def test_an_engine_answers_event_by_event_and_resumes_elsewhere(site):
     for engine in site.engines:
-        engine.cut_after = [2]
+        engine.reset_after = [2]
     async with client(site) as caller:
         answer = await caller.call("writer", b"prompt", max_tokens=9)
     texts = [f"-{number}" for number in range(4)]
--- a/tests/rpc/test_operators.py
+++ b/tests/rpc/test_operators.py
@@ -8,7 +8,7 @@
 from bankrudder.client import Caller, OperatorClient
 from bankrudder.exceptions import BankrudderError, InvalidError, NotRunError
 from bankrudder.failures import FailureReason
-from outside.own_interface import OPERATOR_TOKEN, apply, client, document
+from outside.rpc_interface import OPERATOR_TOKEN, apply, client, document
 from outside.site import until
 from outside.store import GateMode
 
@@ -58,7 +58,7 @@
 async def test_an_apply_whose_reply_is_lost_is_settled(site, attribute):
     setattr(site.hosts[0].gate, attribute, 1)
     assert (await apply(site, changed(1), base=1)).revision == 2
-    site.hosts[0].gate.carry_out_delayed()
+    site.hosts[0].gate.apply_delayed()
     assert (await held(site, 1))[0] == 2
 
 
--- a/tests/rpc/test_steps.py
+++ b/tests/rpc/test_steps.py
@@ -8,7 +8,7 @@
 from bankrudder.exceptions import FailedError, InvalidError
 from bankrudder.failures import FailureReason
 from bankrudder.world import SampleSlot, StepShape
-from outside.own_interface import trainer
+from outside.rpc_interface import trainer
 from outside.site import MODEL, until
 
 PROMPTS = (b"wording", b"risk")
--- a/tests/rpc/test_usage.py
+++ b/tests/rpc/test_usage.py
@@ -5,7 +5,7 @@
 from bankrudder.client import OperatorClient
 from bankrudder.exceptions import BankrudderError
 from outside.duties import DutyStandIn
-from outside.own_interface import OPERATOR_TOKEN, RPC, apply, client
+from outside.rpc_interface import OPERATOR_TOKEN, RPC, apply, client
 from outside.site import Site, until
 
 
--- a/tests/rpc/test_workspaces.py
+++ b/tests/rpc/test_workspaces.py
@@ -1,7 +1,7 @@
 """Endpoints are told the workspace of a caller of the project's own interface."""
 
 from bankrudder.world import StepShape
-from outside.own_interface import client, trainer
+from outside.rpc_interface import client, trainer
 
 SHAPE = StepShape(2, 2)
 
--- a/tests/steps/test_publishing.py
+++ b/tests/steps/test_publishing.py
@@ -72,7 +72,7 @@
 ):
     setattr(gate, attribute, 1)
     assert await registry.publish("m", 2) == 2
-    gate.carry_out_delayed()
+    gate.apply_delayed()
     assert await registry.publish("m", 1) == 2
 
 
--- a/tests/store/test_following.py
+++ b/tests/store/test_following.py
@@ -72,7 +72,7 @@
     await until(lambda: follower.lost_since is not None)
     rows.remove("op", "version/m")
     rows.put("op", "config", {"version": 2})
-    rows.forget_history()
+    rows.discard_history()
     gate.mode = GateMode.OPEN
     await until(lambda: copy == {"config": b'{"version": 2}'})
     assert follower.lost_since is None
--- a/tests/store/test_platform_store.py
+++ b/tests/store/test_platform_store.py
@@ -65,7 +65,7 @@
     await store.commit(Transaction(removals=(KEY,)))
     news = await store.follow("my", ABSENT, 0.1)
     assert news.changes[-1] == RemovedRow(KEY, 2)
-    rows.forget_history()
+    rows.discard_history()
     with pytest.raises(HistoryLostError):
         await store.follow("my", ABSENT, 0.1)
 
@@ -88,7 +88,7 @@
     "reply", [b"{", b'{"rows": 7}', b'{"rows":[{"table":"t","ver":1,"value":"?"}]}']
 )
 async def test_a_reply_that_cannot_be_understood_is_none(store, gate, reply):
-    gate.garbled = reply
+    gate.garbled_reply = reply
     assert await store.commit(PUT) == CommitUnknown(StoreTrouble.NO_REPLY)
     with pytest.raises(StoreUnavailableError):
         await store.read("my", "p")
--- a/tests/store/test_settling.py
+++ b/tests/store/test_settling.py
@@ -45,7 +45,7 @@
     gate.delay_commits = 1
     outcome = await settled(store, b"me")
     assert isinstance(outcome, Committed)
-    assert gate.carry_out_delayed() == 0
+    assert gate.apply_delayed() == 0
     assert rows.version == 1
 
 
--- a/tests/usage/test_keeping.py
+++ b/tests/usage/test_keeping.py
@@ -48,7 +48,7 @@
     version = await usage.put_counts(WINDOW, "a.1", {"north": 5}, version)
     await usage.put_counts(WINDOW, "a.1", {"north": 6}, version)
     if lost == "delay_commits":
-        gate.carry_out_delayed()
+        gate.apply_delayed()
     assert await usage.counts(WINDOW) == {"north": 6}
 
 
