--- a/soak/faults.py
+++ b/soak/faults.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from outside.crashing import CRASHING
-from outside.site import FREEZE, HANG_UP, THAW
+from outside.site import HANGUP_SIGNAL, PAUSE_SIGNAL, RESUME_SIGNAL
 from outside.store import GateMode
 from soak.proxy import LinkMode
 
@@ -69,19 +69,19 @@
     host = run.pick_host(fault)
     if host.is_running:
         host.terminate()
-        await host.wait_gone(9.0)
+        await host.wait_exited(9.0)
     await run.restart(host)
 
 
 async def _freeze(run, fault):
     host = run.pick_host(fault)
-    host.try_signal(FREEZE)
+    host.signal_if_running(PAUSE_SIGNAL)
     await asyncio.sleep(fault.duration_s)
-    host.try_signal(THAW)
+    host.signal_if_running(RESUME_SIGNAL)
 
 
 async def _hang_up(run, fault):
-    run.pick_host(fault).try_signal(HANG_UP)
+    run.pick_host(fault).signal_if_running(HANGUP_SIGNAL)
 
 
 async def _store_gate(run, fault, mode):
@@ -121,11 +121,11 @@
     gate = run.pick_host(fault).gate
     gate.delay_commits += 2
     await asyncio.sleep(fault.duration_s)
-    gate.carry_out_delayed()
+    gate.apply_delayed()
 
 
 async def _history_lost(run, fault):
-    run.site.rows.forget_history()
+    run.site.rows.discard_history()
 
 
 async def _engine_link(run, fault, mode):
@@ -137,7 +137,7 @@
 
 
 async def _engine_cuts(run, fault):
-    run.site.engines[fault.target % len(run.site.engines)].cut_after += [1, 2, 3]
+    run.site.engines[fault.target % len(run.site.engines)].reset_after += [1, 2, 3]
 
 
 async def _endpoint_fails(run, fault, failure):
@@ -153,7 +153,7 @@
     engine = run.site.engines[fault.target % len(run.site.engines)]
     engine.delay_orders += 1
     await asyncio.sleep(fault.duration_s)
-    await engine.carry_out_delayed()
+    await engine.apply_delayed()
 
 
 async def _engine_starts_again(run, fault):
@@ -162,7 +162,7 @@
     For every other target, its entry in the list of endpoints is updated late.
     """
     number = fault.target % len(run.site.engines)
-    run.site.engines[number].start_again(time.time_ns() // 1_000_000)
+    run.site.engines[number].begin_new_run(time.time_ns() // 1_000_000)
     run.engine_proxies[number].reset_all()
     if fault.target % 2:
         await asyncio.sleep(fault.duration_s)
--- a/tests/usage/test_storage.py
+++ b/tests/usage/test_storage.py
@@ -48,7 +48,7 @@
     version = await usage.put_counts(WINDOW, "a.1", {"north": 5}, version)
     await usage.put_counts(WINDOW, "a.1", {"north": 6}, version)
     if fault == "delay_commits":
-        gate.carry_out_delayed()
+        gate.apply_delayed()
     assert await usage.counts(WINDOW) == {"north": 6}
 
 
