--- a/tests/store/test_platform_store.py
+++ b/tests/store/test_platform_store.py
@@ -67,7 +67,7 @@
     await store.commit(Transaction(removals=(KEY,)))
     feed_changes = await store.follow("my", ABSENT, 0.1)
     assert feed_changes.changes[-1] == RemovedRow(KEY, 2)
-    rows.forget_history()
+    rows.discard_history()
     with pytest.raises(HistoryLostError):
         await store.follow("my", ABSENT, 0.1)
 
@@ -90,7 +90,7 @@
     "reply", [b"{", b'{"rows": 7}', b'{"rows":[{"table":"t","ver":1,"value":"?"}]}']
 )
 async def test_an_unreadable_reply_counts_as_no_reply(store, gate, reply):
-    gate.garbled = reply
+    gate.garbled_reply = reply
     assert await store.commit(PUT) == CommitUnknown(StoreErrorKind.NO_REPLY)
     with pytest.raises(StoreUnavailableError):
         await store.read("my", "p")
--- a/tests/store/test_settling.py
+++ b/tests/store/test_settling.py
@@ -45,7 +45,7 @@
     gate.delay_commits = 1
     outcome = await commit_value(store, b"me")
     assert isinstance(outcome, Committed)
-    assert gate.carry_out_delayed() == 0
+    assert gate.apply_delayed() == 0
     assert rows.version == 1
 
 
