--- a/src/bankrudder/crashes/_admission.py
+++ b/src/bankrudder/crashes/_admission.py
@@ -18,9 +18,9 @@
 The other requests that were in progress at crashed endpoints must not be refused. An
 answer clears a content; a server error does not, because it may precede the crash. A
 crash is not counted if another content explains it: one that was in progress there too
-and has more strikes. Two contents with the very same crashes can only be distinguished
-by another attempt, so both are refused only for the shorter `AMBIGUOUS_PAUSES_S`, and
-the next crash or answer decides.
+and has more strikes, at least `CRASH_LIMIT`. Two contents with the very same crashes
+can only be distinguished by another attempt, so both are refused only for the shorter
+`AMBIGUOUS_PAUSES_S`, and the next crash or answer decides.
 """
 
 from collections.abc import Iterable, Mapping
@@ -37,8 +37,9 @@
 
 CRASH_LIMIT = 3
 """Number of crashes after which a content is refused. In a large fleet one endpoint
-fails by chance every day, and two in a row do so in a bad minute; a small service has
-no more than three endpoints."""
+fails by chance every day, and occasionally two fail within a minute, so two crashes are
+not enough evidence. A small service has no more than three endpoints, so a higher limit
+would not protect it."""
 
 ALONE_THRESHOLD = CRASH_LIMIT - 1
 """Number of crashes from which a content is sent to one endpoint at a time, because two
@@ -59,8 +60,12 @@
 until crashed endpoints have restarted."""
 
 RETENTION_BELOW_LIMIT_S = 6 * 3600.0
+"""Time after its last strike for which the strikes of a content are kept if there are
+fewer than `CRASH_LIMIT`."""
+
 RETENTION_S = 24 * 3600.0
-"""How long strikes are kept after the last one, below the limit and from it on."""
+"""Time after its last strike for which the strikes of a content are kept if there are
+`CRASH_LIMIT` or more."""
 
 StrikesByContent = Mapping[ContentId, Mapping[EndpointRun, Strike]]
 
@@ -107,7 +112,11 @@
 def _unexplained_runs(
     content: ContentId, strikes: StrikesByContent
 ) -> frozenset[EndpointRun]:
-    """Return the runs whose crash is not explained by a content with more strikes."""
+    """Return the runs whose crash no other content explains.
+
+    A content explains the crashes that it shares with `content` if it has more strikes
+    than `content`, and at least `CRASH_LIMIT`.
+    """
     own_strikes = strikes[content]
     left = set(own_strikes)
     for other, runs in strikes.items():
@@ -129,7 +138,7 @@
     )
 
 
-def _pause_s(tries: int, is_unambiguous: bool) -> float:
-    if not is_unambiguous and tries < len(AMBIGUOUS_PAUSES_S):
-        return AMBIGUOUS_PAUSES_S[tries]
-    return min(BASE_PAUSE_S * 2.0**tries, MAX_PAUSE_S)
+def _pause_s(excess_crash_count: int, is_unambiguous: bool) -> float:
+    if not is_unambiguous and excess_crash_count < len(AMBIGUOUS_PAUSES_S):
+        return AMBIGUOUS_PAUSES_S[excess_crash_count]
+    return min(BASE_PAUSE_S * 2.0**excess_crash_count, MAX_PAUSE_S)
--- a/src/bankrudder/crashes/_evidence.py
+++ b/src/bankrudder/crashes/_evidence.py
@@ -1,4 +1,4 @@
-"""The evidence whether an endpoint crashed while processing a request.
+"""Evidence of whether an endpoint crashed while processing a request.
 
 A closed connection is weak evidence: endpoints lose answers, connections are reset, and
 planned stops cancel requests that outlast them. An endpoint is considered crashed if
@@ -43,7 +43,7 @@
     LIVES = "lives"
 
 
-def first_evidence(target: TrackedEndpoint, reach: ProbeResult) -> Evidence:
+def first_evidence(target: TrackedEndpoint, probe_result: ProbeResult) -> Evidence:
     """Return the evidence after the first probe of the endpoint's address."""
     if _is_planned_stop(target):
         return Evidence.LIVES
@@ -51,7 +51,7 @@
         return Evidence.ENDED
     if not target.is_listed:
         return Evidence.LIVES
-    if reach is ProbeResult.NOT_LISTENING:
+    if probe_result is ProbeResult.NOT_LISTENING:
         return Evidence.PROBABLY_ENDED
     return Evidence.OPEN
 
--- a/src/bankrudder/crashes/_guard.py
+++ b/src/bankrudder/crashes/_guard.py
@@ -36,10 +36,12 @@
 from bankrudder.world import Clock
 
 READ_SHARE = 0.05
+"""Share of the store's paced reads that following the strikes may take."""
+
 READ_WAIT_S = 2.0
-"""Share of the store's reads that following the strikes may take, and the shortest time
-for which the store holds a read until there is a change. A change ends the read at
-once, so the time only bounds how long a silent connection conceals a change."""
+"""Shortest time limit of a read that waits for a change. The store replies at once when
+there is a change, so the limit only bounds how long a silent connection conceals one.
+"""
 
 PROBE_WAIT_S = 0.05
 """Longest time for which a request waits for the probe of its endpoint. A refused
@@ -160,7 +162,7 @@
         strikes = self._registry.clear(content)
         self._losses = [each for each in self._losses if each.content != content]
         for strike in strikes:
-            self._delete_stored(strike)
+            self._delete_row(strike)
         _log.info(
             "crashes: cleared by an answer", content=content, strikes=len(strikes)
         )
@@ -180,7 +182,7 @@
     async def clean(self) -> None:
         """Remove outdated strikes; only one host at a time needs to do this."""
         for strike in self._registry.clear_outdated(self._now()):
-            self._delete_stored(strike)
+            self._delete_row(strike)
 
     def _start_examination(
         self, work: Coroutine[Any, Any, None]
@@ -198,15 +200,15 @@
 
     async def _examine(self, send: Send, lost_at: float) -> None:
         target = send.target
-        reach = ProbeResult.UNKNOWN
+        probe_result = ProbeResult.UNKNOWN
         if not target.has_ended:
-            reach = await self._probe(target)
-        loss = _Loss(send, lost_at, first_evidence(target, reach))
+            probe_result = await self._probe(target)
+        loss = _Loss(send, lost_at, first_evidence(target, probe_result))
         _log.info(
             "crashes: endpoint gave no answer",
             content=send.content,
             endpoint=target.endpoint.id,
-            reach=reach.value,
+            reach=probe_result.value,
             evidence=loss.evidence.value,
         )
         self._losses.append(loss)
@@ -258,7 +260,7 @@
 
     def _add_strike(self, loss: _Loss) -> None:
         strike = self._strike_for(loss)
-        self._delete_all_stored(self._registry.add(strike))
+        self._delete_rows(self._registry.add(strike))
         decision = self.decision(loss.content)
         _log.warning(
             "crashes: endpoint ended under a request",
@@ -294,7 +296,7 @@
     def _withdraw(self, loss: _Loss) -> None:
         if not self._registry.remove(loss.content, loss.target.run):
             return
-        self._delete_stored(self._strike_for(loss))
+        self._delete_row(self._strike_for(loss))
         _log.info(
             "crashes: endpoint lives, strike withdrawn",
             content=loss.content,
@@ -307,13 +309,13 @@
             self._stored[key] = strike
             self._writer.put(strike)
 
-    def _delete_stored(self, strike: Strike) -> None:
+    def _delete_row(self, strike: Strike) -> None:
         if self._stored.pop(row_key(strike), None) is not None:
             self._writer.remove(strike)
 
-    def _delete_all_stored(self, strikes: Iterable[Strike]) -> None:
+    def _delete_rows(self, strikes: Iterable[Strike]) -> None:
         for strike in strikes:
-            self._delete_stored(strike)
+            self._delete_row(strike)
 
     def _on_row(self, row: Row) -> None:
         try:
@@ -324,7 +326,7 @@
             )
             return
         self._stored[row.key] = strike
-        self._delete_all_stored(self._registry.add(strike))
+        self._delete_rows(self._registry.add(strike))
 
     def _on_removed(self, key: RowKey) -> None:
         strike = self._stored.pop(key, None)
--- a/src/bankrudder/crashes/_records.py
+++ b/src/bankrudder/crashes/_records.py
@@ -22,6 +22,16 @@
 
 
 class _CrashRow(msgspec.Struct, frozen=True, omit_defaults=True):
+    """Encoded form of a `Strike`.
+
+    Attributes
+    ----------
+    began : UnixTime
+        `Strike.sent_at`.
+    at : UnixTime
+        `Strike.lost_at`.
+    """
+
     content: ContentId
     endpoint: EndpointId
     began: UnixTime
--- a/src/bankrudder/crashes/_registry.py
+++ b/src/bankrudder/crashes/_registry.py
@@ -43,23 +43,24 @@
         # Reinsertion keeps the contents in order of their latest strike.
         runs = self._strikes.pop(strike.content, {})
         self._strikes[strike.content] = runs
-        # Several requests with the content may have been at the run: keep the first.
+        # Several requests with the content may have been in progress at this run: the
+        # first strike is kept.
         runs.setdefault(strike.run, strike)
-        forgotten = []
+        evicted = []
         if len(runs) > MAX_RUNS:
             oldest = min(runs, key=lambda run: runs[run].lost_at)
-            forgotten.append(runs.pop(oldest))
+            evicted.append(runs.pop(oldest))
         if len(self._strikes) > MAX_CONTENTS:
-            forgotten += self.clear(next(iter(self._strikes)))
-        return forgotten
+            evicted += self.clear(next(iter(self._strikes)))
+        return evicted
 
     def remove(self, content: ContentId, run: EndpointRun) -> bool:
         """Remove a strike; return whether it was present."""
         runs = self._strikes.get(content, {})
-        was_there = runs.pop(run, None) is not None
-        if was_there and not runs:
+        was_present = runs.pop(run, None) is not None
+        if was_present and not runs:
             del self._strikes[content]
-        return was_there
+        return was_present
 
     def clear(self, content: ContentId) -> list[Strike]:
         """Remove all strikes of a content and return them."""
