--- a/src/bankrudder/calls/_admission.py
+++ b/src/bankrudder/calls/_admission.py
@@ -22,7 +22,7 @@
 from bankrudder.routing import ServiceName
 from bankrudder.world import CallerClass, CallerClassName, Clock, DataCentreName
 
-RECHECK_S = 0.02
+RECHECK_PERIOD_S = 0.02
 """Interval at which waiting requests check the load again: endpoints report a change of
 load with unrelated answers, which do not wake a waiting request."""
 
@@ -165,7 +165,7 @@
                 raise _refusal(
                     FailureReason.QUEUE_TIMEOUT, "no endpoint slot became free in time"
                 )
-            await asyncio.wait((entry.admitted,), timeout=RECHECK_S)
+            await asyncio.wait((entry.admitted,), timeout=RECHECK_PERIOD_S)
 
     def _remove_entry(self, queue: _Queue, entry: _QueuedRequest) -> None:
         if entry.admitted.done():
@@ -195,7 +195,10 @@
             each.endpoint.slots - policy.reserved_slot_count for each in endpoints
         )
         other_hosts_load = sum(each.other_hosts_load(now) for each in endpoints)
+        # Admitted requests may not be sent yet, and samples of batches are in flight
+        # without admission.
         own_load = max(queue.admitted_count, sum(each.in_flight for each in endpoints))
+        # If all slots are reserved, a request is admitted while the endpoints are idle.
         return own_load + other_hosts_load < max(usable_slot_count, 1)
 
 
--- a/src/bankrudder/calls/_cleaning.py
+++ b/src/bankrudder/calls/_cleaning.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    longest_window_s : callable
+    max_retry_window_s : callable
         Returns the longest retry window of all pools, in seconds.
     """
 
--- a/src/bankrudder/calls/_once.py
+++ b/src/bankrudder/calls/_once.py
@@ -35,7 +35,7 @@
 """Time before the deadline that is reserved for replying to the caller that the request
 was not sent."""
 
-POLL_S = 0.1
+RECORD_POLL_PAUSE_S = 0.1
 """Pause between two reads of a record whose request another attempt is sending: twice
 the usual answer time."""
 
@@ -46,7 +46,7 @@
 """Time for which a record is looked for if the outcome of its first write is unknown:
 the store may apply a write some seconds after it failed to reply."""
 
-LATE_WRITE_POLL_S = 1.0
+LATE_WRITE_POLL_PAUSE_S = 1.0
 
 RequestSender = Callable[[], Awaitable[Answer]]
 
@@ -178,12 +178,12 @@
                     FailureReason.HOST_LOST,
                     f"host {record.host} stopped while it was sending the request",
                 )
-            if self._clock.monotonic() + POLL_S >= deadline:
+            if self._clock.monotonic() + RECORD_POLL_PAUSE_S >= deadline:
                 raise ExpiredError(
                     FailureReason.DEADLINE_PASSED,
                     "another attempt with the same key is still running",
                 )
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(RECORD_POLL_PAUSE_S)
             found = await self._read(name)
         return None
 
@@ -225,7 +225,7 @@
         """Remove the record of this attempt if the store applies the write late."""
         until = self._clock.monotonic() + LATE_WRITE_WINDOW_S
         while self._clock.monotonic() < until:
-            await asyncio.sleep(LATE_WRITE_POLL_S)
+            await asyncio.sleep(LATE_WRITE_POLL_PAUSE_S)
             try:
                 stored = await self._records.read(name)
             except StoreUnavailableError:
--- a/src/bankrudder/calls/_records.py
+++ b/src/bankrudder/calls/_records.py
@@ -65,8 +65,8 @@
 
         Parameters
         ----------
-        give_up_s : float
-            Seconds after which a failed write is not retried.
+        retry_limit_s : float
+            Time after which a failed write is not retried.
 
         Raises
         ------
--- a/src/bankrudder/calls/_service.py
+++ b/src/bankrudder/calls/_service.py
@@ -51,7 +51,7 @@
 
 
 class CallService:
-    """Answers calls."""
+    """Checks and admits calls, forwards them to endpoints and yields the answers."""
 
     def __init__(
         self,
--- a/src/bankrudder/config/_check.py
+++ b/src/bankrudder/config/_check.py
@@ -27,7 +27,9 @@
 MAX_FINDINGS = 50
 """Largest number of findings that one error lists."""
 
-NAME_RULE = "must be 1 to 64 letters, digits, '.', '_' or '-'"
+NAME_RULE = (
+    "must be 1 to 64 letters, digits, '.', '_' or '-', and begin with a letter or digit"
+)
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 _SHA256 = re.compile(r"[0-9a-f]{64}")
@@ -43,7 +45,7 @@
     value : str
         Its value as JSON, shortened.
     problem : str
-        What the value must be.
+        What the value must be, or why it is wrong.
     """
 
     field: str
--- a/src/bankrudder/config/_index.py
+++ b/src/bankrudder/config/_index.py
@@ -46,10 +46,10 @@
     def __init__(self, configuration: Configuration):
         self._configuration = configuration
         self._pools = _by_name(configuration.pools)
-        self._classes = _by_name(configuration.caller_classes)
+        self._caller_classes = _by_name(configuration.caller_classes)
         self._data_classes = _by_name(configuration.data_classes)
         self._jobs = _by_name(configuration.jobs)
-        self._callers = {c.token_sha256: c for c in configuration.callers}
+        self._callers_by_token_hash = {c.token_sha256: c for c in configuration.callers}
         self._allowed_data_centres: dict[str, frozenset[DataCentreName]] = {
             data_class.name: frozenset(data_class.allowed_data_centres)
             for data_class in configuration.data_classes
@@ -65,12 +65,12 @@
 
     def caller_by_token_hash(self, token_sha256: str) -> Caller | None:
         """Return the caller whose token has this hexadecimal SHA-256, or None."""
-        return self._callers.get(token_sha256)
+        return self._callers_by_token_hash.get(token_sha256)
 
     def caller_class(self, name: CallerClassName) -> CallerClass:
         """Return the caller class, or raise BAD_REQUEST."""
         reason = FailureReason.BAD_REQUEST
-        return _look_up(self._classes, name, "caller_class", reason)
+        return _look_up(self._caller_classes, name, "caller_class", reason)
 
     def data_class(self, name: DataClassName) -> DataClass:
         """Return the data class, or raise UNKNOWN_DATA_CLASS."""
--- a/src/bankrudder/config/_routes.py
+++ b/src/bankrudder/config/_routes.py
@@ -14,8 +14,8 @@
 from bankrudder.world import DataCentreName, Job, Pool, PoolKind
 
 TARGET_TIMEOUT_SHARE = 0.2
-"""Target latency as a share of a pool's timeout: an idempotent request is also sent to
-a second endpoint after half the target latency."""
+"""Target latency as a share of a pool's timeout. An idempotent request may be sent to a
+second endpoint once it has waited for half the target latency."""
 
 BASE_ADAPTER = "base"
 """Adapter name of a job that trains the model of the pool itself."""
--- a/src/bankrudder/config/_service.py
+++ b/src/bankrudder/config/_service.py
@@ -41,7 +41,8 @@
 
 MAX_CONFIGURATION_AGE_S = 10.0
 """Time without a successful read after which a host refuses calls: operators may have
-moved data classes meanwhile. Store outages of several seconds do not affect calls."""
+changed the allowed data centres of a data class meanwhile. Store outages of several
+seconds do not affect calls."""
 
 APPLY_TIMEOUT_S = 3.0
 """Time limit for retries of the write of a new revision."""
@@ -51,7 +52,7 @@
 force: a few idle heartbeat intervals in a fleet of 30 hosts. The reply then lists the
 hosts that do not report it; the operator may apply the document again."""
 
-POLL_S = 0.1
+HEARTBEAT_POLL_PAUSE_S = 0.1
 
 RETRY_AFTER_S = 1.0
 
@@ -232,7 +233,7 @@
             pending = self._pending_hosts(revision)
             if not pending or self._clock.monotonic() >= until:
                 return ApplyOutcome(revision, pending)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(HEARTBEAT_POLL_PAUSE_S)
 
     async def _refresh_hosts(self) -> None:
         """Read the heartbeats, to include hosts that became ready since the last read.
--- a/src/bankrudder/steps/_service.py
+++ b/src/bankrudder/steps/_service.py
@@ -139,6 +139,8 @@
 
         Parameters
         ----------
+        slots : iterable of SampleSlot
+            Samples that the trainer holds.
         opened_versions : iterable of ModelVersion
             All versions with which the step was opened.
 
@@ -241,17 +243,17 @@
         self, batch_id: BatchId, shape: StepShape
     ) -> AsyncGenerator[StepSample, None]:
         position = 0
-        given_up_count = 0
+        aborted_count = 0
         while position < len(shape.slots):
             results, position = await self._next_results(batch_id, position)
             for result in results:
                 if result.state is ResultState.ABORTED:
-                    given_up_count += 1
+                    aborted_count += 1
                 else:
                     yield _sample(result)
-        if given_up_count:
+        if aborted_count:
             raise FailedError(
-                FailureReason.SAMPLES_GIVEN_UP, f"{given_up_count} samples were aborted"
+                FailureReason.SAMPLES_GIVEN_UP, f"{aborted_count} samples were aborted"
             )
 
     async def _next_results(
@@ -261,7 +263,8 @@
             if self._is_leaving():
                 raise NotRunError(
                     FailureReason.STOPPING,
-                    "this host stops; the step continues, open it at another host",
+                    "this host is stopping; the step continues and may be opened at"
+                    " another host",
                     retry_after_s=0.0,
                 )
             try:
