--- a/src/bankrudder/crashes/_guard.py
+++ b/src/bankrudder/crashes/_guard.py
@@ -73,7 +73,7 @@
 
 
 class _Loss(msgspec.Struct):
-    """A request that got no answer of its endpoint; ``lost_at`` is a monotonic time."""
+    """A request that got no answer from its endpoint, at monotonic time ``lost_at``."""
 
     send: Send
     lost_at: float
--- a/src/bankrudder/fleet/_directory.py
+++ b/src/bankrudder/fleet/_directory.py
@@ -13,8 +13,8 @@
 from bankrudder.world import Clock, DataCentreName
 
 RELISTING_WAIT_S = 2.0
-"""Time after a store outage within which the platform lists endpoints again whose
-entries lapsed during the outage, by its contract. Until then the endpoints are kept."""
+"""Time after a store outage within which the platform, by its contract, lists the
+endpoints again whose entries lapsed during the outage. They are kept until then."""
 
 _log = structlog.get_logger("fleet")
 
@@ -42,7 +42,7 @@
         self._clock = clock
         self._rng = rng or random.Random()
         self._tracked: dict[EndpointId, TrackedEndpoint] = {}
-        self._missing: dict[EndpointId, float] = {}
+        self._kept_until: dict[EndpointId, float] = {}
         self._unreadable: dict[EndpointId, str] = {}
 
     def __len__(self) -> int:
@@ -70,7 +70,7 @@
                 known_born=known.run.born,
             )
             return
-        self._missing.pop(endpoint.id, None)
+        self._kept_until.pop(endpoint.id, None)
         if known is None:
             self._tracked[endpoint.id] = TrackedEndpoint(endpoint)
             _log.info(
@@ -147,16 +147,18 @@
         if endpoint_id not in self._tracked:
             return
         if keep_until > self._clock.monotonic():
-            self._missing[endpoint_id] = keep_until
+            self._kept_until[endpoint_id] = keep_until
             return
-        self._missing.pop(endpoint_id, None)
+        self._kept_until.pop(endpoint_id, None)
         self._tracked.pop(endpoint_id).mark_unlisted()
         _log.info("fleet: endpoint gone", endpoint=endpoint_id)
 
     def remove_expired(self) -> None:
         """Remove the endpoints that were not listed again in time."""
         now = self._clock.monotonic()
-        for endpoint_id in [key for key, at in self._missing.items() if at <= now]:
+        for endpoint_id in [
+            key for key, until in self._kept_until.items() if until <= now
+        ]:
             self.remove(endpoint_id, now)
 
     def of_service(
@@ -221,22 +223,22 @@
     def _best(
         self, endpoints: Sequence[TrackedEndpoint], now: float
     ) -> TrackedEndpoint | None:
-        known = [self._candidate(each, now) for each in endpoints]
-        mean_s = mean_latency_s(each.latency_s for each in known)
-        # The random factor keeps hosts from all choosing the same of several equals.
+        candidates = [self._candidate(each, now) for each in endpoints]
+        mean_s = mean_latency_s(each.latency_s for each in candidates)
+        # Without the random factor, all hosts would choose the same of several equals.
         costs_s = [
             expected_cost_s(each, mean_s) * self._rng.uniform(0.95, 1.05)
-            for each in known
+            for each in candidates
         ]
         if not costs_s:
             return None
         return endpoints[costs_s.index(min(costs_s))]
 
-    def _candidate(self, each: TrackedEndpoint, now: float) -> Candidate:
+    def _candidate(self, tracked: TrackedEndpoint, now: float) -> Candidate:
         return Candidate(
-            slots=each.endpoint.slots,
-            load=each.in_flight + each.other_hosts_load(now),
-            latency_s=each.latency_s,
-            is_local=each.endpoint.data_centre == self._data_centre,
-            is_connected=each.is_connected(now),
+            slots=tracked.endpoint.slots,
+            load=tracked.in_flight + tracked.other_hosts_load(now),
+            latency_s=tracked.latency_s,
+            is_local=tracked.endpoint.data_centre == self._data_centre,
+            is_connected=tracked.is_connected(now),
         )
--- a/src/bankrudder/fleet/_sending.py
+++ b/src/bankrudder/fleet/_sending.py
@@ -70,9 +70,9 @@
 
     UNREACHABLE = "unreachable"
     NOT_LISTENING = "not_listening"
-    """The connection was refused, by the endpoint's host or by a failing link.
+    """The connection was refused, by the endpoint's machine or by a failing link.
 
-    The former means that the endpoint's process has exited.
+    If the machine refused it, the endpoint's process has exited.
     """
 
     FULL = "full"
@@ -209,7 +209,8 @@
     fencing_token : int
         Token that increases with each change of the lease holder.
     expected_orders : int
-        Number of orders that the engine must have accepted before to accept this one.
+        Number of orders that the engine must have accepted before this one; it refuses
+        the order if the number differs.
     """
 
     model: ModelName
@@ -225,6 +226,8 @@
 
     ACCEPTED = "accepted"
     ALREADY_SO = "already_so"
+    """The engine already serves the version and does not count the order."""
+
     CONFLICT = "conflict"
     """Another order is in progress, or the engine took more orders than expected."""
 
--- a/src/bankrudder/fleet/_tracked.py
+++ b/src/bankrudder/fleet/_tracked.py
@@ -10,14 +10,16 @@
 from bankrudder.world import ModelVersion
 
 LATENCY_WEIGHT = 0.2
-"""Weight of the newest answer in the moving average of the latency, which follows a
-change within about ten answers."""
+"""Weight of the newest value in the moving averages of the latency and of the time
+between events, which follow a change within about ten values."""
 
 FIRST_SUSPENSION_S = 0.4
+"""Time for which an endpoint is suspended after its first failure. The time doubles
+with each further failure, up to `MAX_SUSPENSION_S`."""
+
 MAX_SUSPENSION_S = 3.0
-"""An endpoint that gives no answer is suspended for the first time, which doubles with
-each further failure up to the maximum. A restart takes a few seconds, and the
-endpoint's new run is not suspended."""
+"""Longest suspension of an endpoint. A restart takes a few seconds, and the endpoint's
+new run is not suspended."""
 
 LOADING_TIMEOUT_S = 2.0
 """Time after which an engine is assumed to have loaded a version if no completion is
@@ -29,7 +31,7 @@
 
 MAX_IDLE_CONNECTIONS = 64
 """Maximum number of idle connections that are counted for an endpoint. One host never
-has this many samples there at once."""
+has this many samples in progress there."""
 
 
 class TrackedEndpoint:
--- a/src/bankrudder/relay/_attempts.py
+++ b/src/bankrudder/relay/_attempts.py
@@ -50,8 +50,9 @@
 """Number of endpoint refusals after which a request is given up."""
 
 ALL_FULL_PAUSE_S = 0.04
-"""Pause once all endpoints were full: about a typical response time, after which one of
-them has a free slot. Without it a request is refused within a few milliseconds."""
+"""Pause after a refusal once all endpoints were tried: about a typical response time,
+after which one of them has a free slot. Without the pause, `MAX_REFUSALS` refusals come
+within a few milliseconds."""
 
 RETRY_AFTER_S = 0.25
 """Retry delay sent with a refusal: a few times a typical response time, in which a full
--- a/src/bankrudder/relay/_values.py
+++ b/src/bankrudder/relay/_values.py
@@ -80,7 +80,8 @@
     proof : str
         Receipt of the endpoint, empty if it sent none.
     failed_answers : int
-        Number of endpoints that answered with a server error, this one included.
+        Number of attempts that were answered with a server error, including this
+        answer if it is one.
     endpoint : EndpointId
         The endpoint that answered.
     """
@@ -94,7 +95,7 @@
 
 
 class RejectReason(Enum):
-    """The reason why a request got no answer of an endpoint."""
+    """The reason why a request got no answer from an endpoint."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_ROUTE = "no_route"
--- a/tests/crashes/test_evidence.py
+++ b/tests/crashes/test_evidence.py
@@ -25,15 +25,17 @@
 
 
 @pytest.mark.parametrize(
-    ("reach", "expected"),
+    ("probe_result", "expected"),
     [
         (ProbeResult.NOT_LISTENING, Evidence.PROBABLY_ENDED),
         (ProbeResult.LISTENING, Evidence.OPEN),
         (ProbeResult.UNKNOWN, Evidence.OPEN),
     ],
 )
-def test_only_a_refused_connection_is_evidence_for_a_crash(target, reach, expected):
-    assert first_evidence(target, reach) is expected
+def test_only_a_refused_connection_is_evidence_for_a_crash(
+    target, probe_result, expected
+):
+    assert first_evidence(target, probe_result) is expected
 
 
 def test_later_run_proves_that_the_earlier_one_ended(target):
--- a/tests/crashes/test_guard.py
+++ b/tests/crashes/test_guard.py
@@ -139,9 +139,11 @@
     await until(lambda: stored_keys(rows) == [])
 
 
-@pytest.mark.parametrize("reach", [ProbeResult.LISTENING, ProbeResult.UNKNOWN])
-async def test_lost_answers_of_live_endpoints_do_not_count(make_host, endpoints, reach):
-    endpoints.reach_result = reach
+@pytest.mark.parametrize("probe_result", [ProbeResult.LISTENING, ProbeResult.UNKNOWN])
+async def test_lost_answers_of_live_endpoints_do_not_count(
+    make_host, endpoints, probe_result
+):
+    endpoints.reach_result = probe_result
     host = make_host()
     await host.lose("e1", "e2", "e3", "e4")
     assert host.admission() is Admission.FREE
