--- a/src/bankrudder/calls/_service.py
+++ b/src/bankrudder/calls/_service.py
@@ -239,7 +239,7 @@
         case NotRun(reason=RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
             return NotRunError(
                 FailureReason.CRASHES_ENDPOINTS,
-                "endpoints crashed on the same request before",
+                "endpoints crashed while processing the same request",
                 retry_after_s=seconds,
             )
         case NotRun(reason=reason, retry_after_s=seconds):
--- a/src/bankrudder/steps/_publishing.py
+++ b/src/bankrudder/steps/_publishing.py
@@ -55,7 +55,9 @@
         """
         if version < 1:
             raise InvalidError(
-                FailureReason.BAD_REQUEST, "must be at least 1", field="version"
+                FailureReason.BAD_REQUEST,
+                f"version is {version}, must be at least 1",
+                field="version",
             )
         with translate_store_errors("the store gave no reply", RETRY_AFTER_S):
             newest = await self._write_if_newer(model, version)
--- a/tests/crashes/test_registry.py
+++ b/tests/crashes/test_registry.py
@@ -46,13 +46,13 @@
 
 
 def test_oldest_contents_are_evicted_first(registry):
-    forgotten = [
+    evicted = [
         each
         for number in range(MAX_CONTENTS + 2)
         for each in registry.add(strike(number))
     ]
     assert len(registry) == MAX_CONTENTS
-    assert [each.content for each in forgotten] == [0, 1]
+    assert [each.content for each in evicted] == [0, 1]
 
 
 def test_oldest_strikes_of_a_content_are_evicted_first(registry):
--- a/tests/relay/test_streaming.py
+++ b/tests/relay/test_streaming.py
@@ -54,11 +54,11 @@
         "r", "h", "/", RouteKind.STREAM, (WeightedService("s", 1.0),), 5.0, 0.4
     )
     request = IncomingRequest("q", "POST", "/x", "/x", "h", (), b"", 9.0, 0.0)
-    asked = asyncio.ensure_future(streams.forward(request, route, "s"))
+    task = asyncio.ensure_future(streams.forward(request, route, "s"))
     await endpoints.opened.wait()
     assert directory.get("e").in_flight == 1
-    asked.cancel()
+    task.cancel()
     with pytest.raises(asyncio.CancelledError):
-        await asked
+        await task
     assert directory.get("e").in_flight == 0
     assert guard.abandoned == ["e"]
