--- a/src/bankrudder/calls/_service.py
+++ b/src/bankrudder/calls/_service.py
@@ -51,7 +51,7 @@
 
 
 class CallService:
-    """Answers calls."""
+    """Checks and admits calls, forwards them to endpoints and yields the answers."""
 
     def __init__(
         self,
@@ -239,7 +239,7 @@
         case NotRun(reason=RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
             return NotRunError(
                 FailureReason.CRASHES_ENDPOINTS,
-                "endpoints crashed on the same request before",
+                "endpoints crashed while processing the same request",
                 retry_after_s=seconds,
             )
         case NotRun(reason=reason, retry_after_s=seconds):
