--- a/src/bankrudder/batches/_cleaning.py
+++ b/src/bankrudder/batches/_cleaning.py
@@ -37,8 +37,9 @@
 """Time for which a batch is kept beyond its retention, for late readers."""
 
 FIRST_SEEN_TABLE = "cleaning"
-"""Table of first sights. The part is the identifier of an ended batch, ``open/BATCH``
-for an open one, or ``progress/MODEL``; its one row holds a `FirstSeen`."""
+"""Table of the times from which ages are measured. The part is the identifier of an
+ended batch, ``open/BATCH`` for an open one, or ``progress/MODEL``; its one row holds a
+`FirstSeen`. The row in the part ``clock`` is written only to learn the store's time."""
 
 _FIRST_SEEN_KEY = "ended"
 
@@ -46,7 +47,11 @@
 
 
 class FirstSeen(msgspec.Struct, frozen=True):
-    """Store time at which a batch, or a model's progress, was first seen as it is."""
+    """Store time at which a batch was first seen open or ended.
+
+    For the progress of a model, the time at which it was first seen after its latest
+    change.
+    """
 
     store_time_s: float
 
@@ -116,7 +121,10 @@
     async def _is_due(
         self, name: str, now_s: float, min_age_s: float | None = None
     ) -> bool:
-        """Whether a part has been known for `min_age_s`; record it if it is new."""
+        """Whether a part was first seen at least `min_age_s` ago; record a new part.
+
+        The default age is the retention with its margin.
+        """
         min_age_s = self._min_age_s if min_age_s is None else min_age_s
         page = await self._store.read(FIRST_SEEN_TABLE, name)
         if page.rows:
@@ -132,7 +140,7 @@
         await self._store.commit(Transaction(removals=(key,)))
 
     async def _clean_progress(self, model: str, now_s: float) -> None:
-        """Remove a model's progress if no row of it changed for the retention."""
+        """Remove a model's progress if no row of it changed during the retention."""
         page = await self._store.read(PROGRESS_TABLE, model, limit=500)
         name = f"progress/{model}"
         newest = max((row.version for row in page.rows), default=0)
--- a/src/bankrudder/batches/_dispatcher.py
+++ b/src/bankrudder/batches/_dispatcher.py
@@ -18,8 +18,8 @@
 RECHECK_INTERVAL_S = 0.05
 """Interval at which waiting samples are matched with the engines again, for changes
 that do not come from a sample. A list of the engines with recent enough weights is
-reused for as long: with one search for each sample, a step of 96 samples took 0.9 s
-before 3,000 engines."""
+reused for as long: with one search for each sample, granting the slots of a step takes
+0.9 s for 96 samples and 3,000 engines."""
 
 REFUSAL_PAUSE_S = 0.1
 """Time for which an engine gets no samples of a model after it refused one: it is full,
@@ -31,9 +31,9 @@
 it, as a sample on an engine that does not answer waits for a second or more."""
 
 RESERVATION_EVENT_COUNT = 8
-"""Length of a reservation for a running sample that would gain by moving, in events of
-its present engine: two of its move checks, so that it finds the slot on a slow engine
-as well."""
+"""Duration of a reservation for a running sample that would gain by moving, in events
+of its present engine. However slow that engine is, two move checks of the sample fall
+into this time, so that it finds the reserved slot."""
 
 MAX_RESERVED_SHARE = 0.5
 """Largest share of an engine's slots that may be reserved; waiting samples get the
@@ -130,12 +130,12 @@
         """Whether a running sample should continue on another engine.
 
         If all engines on which it would gain are full, the next slot of the fastest is
-        reserved for it. Otherwise waiting samples would take each released slot, and
-        samples that are likely to run for long would stay on slow engines.
+        reserved for it. Without reservations, waiting samples would take each released
+        slot, and samples that are likely to run for long would stay on slow engines.
 
         Parameters
         ----------
-        events : int
+        event_count : int
             Number of events that the sample has so far.
         """
         if target.event_gap_s is None:
--- a/src/bankrudder/batches/_failures.py
+++ b/src/bankrudder/batches/_failures.py
@@ -1,4 +1,4 @@
-"""Errors that end a sample, or one run of it on an engine, without its text."""
+"""Errors that end a sample, or one run of it, before its text is complete."""
 
 
 class SampleFailedError(Exception):
--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -20,7 +20,8 @@
 rarely try at once."""
 
 MAX_TAKEOVER_RANK = 3
-"""Upper limit of the rank that determines how long a host waits."""
+"""Upper limit of a host's rank in the takeover order: even among many hosts, none waits
+longer than 1.2 s."""
 
 NEWEST_BATCH_WEIGHT = 0.3
 """Weight of the newest batch in the moving averages of the size of a model's batches
@@ -109,10 +110,12 @@
         return max(needed, default=ModelVersion(0))
 
     def choose_owner(self, batch: Batch, *, may_choose_this_host: bool) -> Owner:
-        """Return the owner for a new batch: the owner of the model's latest batch.
+        """Return the owner for a new batch.
 
-        That host has connections to the engines and has measured their speed. The owner
-        is empty if no host is known; a host then takes the batch over.
+        The owner of the model's latest batch is preferred, as it has connections to the
+        engines and has measured their speed. If it is not available, the host with the
+        most capacity is chosen. The owner is empty if no host is known; a host then
+        takes the batch over.
         """
         hosts = [
             host
--- a/src/bankrudder/batches/_repository.py
+++ b/src/bankrudder/batches/_repository.py
@@ -53,7 +53,8 @@
 1 MB, and base64 adds a third."""
 
 MAX_TRANSACTION_BYTES = 600_000
-"""Largest size of a transaction; the store's limit is higher."""
+"""Largest total size of the values in a transaction: base64 adds a third, and the store
+accepts 1 MB."""
 
 ROW_MARGIN_BYTES = 1024
 """Margin by which values stay below the store's largest row."""
@@ -65,7 +66,8 @@
 REFUSED_WRITE_TIMEOUT_S = 0.4
 """Time for which an acceptance is tried again if it was certainly not carried out, as
 this host cannot reach the store. The trainer's step waits for the acceptance, and
-another host may reach the store. Each try itself waits for the store to return."""
+another host may reach the store. Each try itself waits for an outage of the store to
+end."""
 
 _HEAD_KEY = "head"
 _OWNER_KEY = "owner"
--- a/src/bankrudder/batches/_scoring.py
+++ b/src/bankrudder/batches/_scoring.py
@@ -103,7 +103,8 @@
                     )
                     if failures >= route.max_attempts:
                         raise ScoreFailedError(
-                            f"{failures} reward answers failed, the last with {status}"
+                            f"{failures} reward answers failed, "
+                            f"the last with status {status}"
                         )
                     await asyncio.sleep(RETRY_PAUSE_S)
                 case NotRun(RejectReason.CRASHES_ENDPOINTS, retry_after_s=seconds):
--- a/src/bankrudder/batches/_service.py
+++ b/src/bankrudder/batches/_service.py
@@ -283,7 +283,8 @@
             _log.warning("batches: lost to another owner", batch=batch_id)
             self._tasks[batch_id].cancel()
         if is_mine and not self._is_leaving and row.version > fence:
-            # The reply to the acceptance or the takeover by this host was lost.
+            # Another host accepted the batch and chose this host as its owner, or this
+            # host accepted the batch or took it over and the reply was lost.
             self._start_work(batch_id, row.version)
 
     def _on_owner_removed(self, key: RowKey) -> None:
@@ -298,7 +299,7 @@
             self._spawn(self._save_unfinished(run))
 
     async def _save_unfinished(self, run: BatchRun) -> None:
-        """Save the progress of incomplete groups; drop progress of no more use."""
+        """Save the progress of incomplete groups; drop obsolete progress."""
         unfinished_progress = run.unfinished_progress()
         await self._progress_store.save(run.batch.model, unfinished_progress)
         unfinished_ids = {sample_id for sample_id, _ in unfinished_progress}
--- a/src/bankrudder/batches/_values.py
+++ b/src/bankrudder/batches/_values.py
@@ -59,7 +59,7 @@
     min_version : ModelVersion
         Oldest weights that may generate any of its text.
     target_groups : int
-        Number of complete groups that the trainer waits for.
+        Number of complete groups that the trainer waits for; 0 for all.
     data_centres : tuple of DataCentreName
         Where the batch may be worked on; empty for anywhere.
     trace : str
@@ -105,8 +105,8 @@
     Attributes
     ----------
     accepted_at : float
-        Store time in seconds at which the batch was accepted; 0 if the store's time is
-        not known yet.
+        Store time in seconds at which the batch was accepted. Not in use: it is always
+        0 in the rows that this release writes.
     work : int
         Tokens that the batch is expected to generate.
     samples : int
--- a/src/bankrudder/orders/_announcing.py
+++ b/src/bankrudder/orders/_announcing.py
@@ -23,7 +23,7 @@
 from bankrudder.world import Clock, ModelVersion
 
 LOADED_TABLE = "loaded"
-"""Table with one row for each engine, which each load replaces."""
+"""Table with one row for each engine; each load replaces the row of its engine."""
 
 _log = structlog.get_logger("orders")
 
@@ -35,7 +35,7 @@
     version: ModelVersion
     is_loading: bool = False
     born: StartTime | None = None
-    """Birth of the engine's run that received the order."""
+    """Start time of the engine's run that received the order, if known."""
 
 
 class LoadAnnouncer:
--- a/src/bankrudder/orders/_paces.py
+++ b/src/bankrudder/orders/_paces.py
@@ -50,7 +50,7 @@
 class EnginePace(msgspec.Struct, frozen=True):
     """Value of a row: mean seconds between events, as one owner measured them.
 
-    ``born`` is the birth of the engine's run that was measured.
+    ``born`` is the start time of the engine's run that was measured, if known.
     """
 
     gap_s: float
--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -38,8 +38,8 @@
 loading weights."""
 
 FULL_PAUSE_S = 0.2
-"""Time after which a full engine is asked again for its free slots: twice the age that
-its answer may have."""
+"""Pause before a full engine is asked again for its free slots: twice the largest age
+of the state that an engine reports."""
 
 INITIAL_LOAD_TIME = timedelta(seconds=1)
 LOAD_TIME_WEIGHT = 0.3
@@ -126,7 +126,7 @@
         self._usual_load += LOAD_TIME_WEIGHT * (duration - self._usual_load)
 
     def note_full(self, engine: EndpointId) -> None:
-        """Note that hardly any slot of an engine is free."""
+        """Note that few slots of an engine are free."""
         self._full_until[engine] = self._clock.monotonic() + FULL_PAUSE_S
 
     def choose(
--- a/src/bankrudder/orders/_switching.py
+++ b/src/bankrudder/orders/_switching.py
@@ -54,7 +54,7 @@
 duration of a load."""
 
 RETRY_PAUSE_S = 0.3
-"""Pause after an unanswered question or an order that was not accepted."""
+"""Pause after an unanswered request for the state, or an order without acceptance."""
 
 _log = structlog.get_logger("orders")
 
--- a/src/bankrudder/routing/_values.py
+++ b/src/bankrudder/routing/_values.py
@@ -49,9 +49,10 @@
         Time within which all results of a batch are due; 0 if the route is not a
         rollout.
     retention_s : float
-        Time after which a sample of a batch may be given up.
+        Time after which an unfinished sample of a batch is given up; 0 if not set.
     max_attempts : int
-        Largest number of endpoints that a request may be sent to.
+        Largest number of endpoints that a request may be sent to. A sample of a batch
+        is given up after as many runs that ended with an error status.
     priority : int
         Priority of the requests; 0 is the most urgent.
     is_resumable : bool
--- a/src/bankrudder/scheduling/_assignment.py
+++ b/src/bankrudder/scheduling/_assignment.py
@@ -6,17 +6,17 @@
 
 A host that starts to order loads, after a restart of all hosts or after the loss of the
 previous host, knows no assignment. It infers from the versions on the engines which
-model each engine followed. A new assignment would change the model of half of the
-engines, which would then load weights while steps wait.
+model each engine followed. An assignment that ignored this would change the model of
+half of the engines, which would then load weights while steps wait.
 
 A step takes as long as its longest sample, which depends on the speed of its engine: on
-engines that emit events a third slower than others, a step takes ten seconds where only
-seven are of value. The cost differs between trainers. A trainer that waits for all
-groups waits for its longest sample in nearly every step and falls behind for the rest
-of the day, while another one finishes most of its steps in half of their time. So the
-fast engines go to the models whose latest batches were open longest. Until these times
-are known, each model gets its share of the fast engines, and no model has only slow
-ones.
+engines that emit events a third slower than others, a step takes ten seconds, although
+its results are of value only within seven. The cost differs between trainers. A trainer
+that waits for all groups waits for its longest sample in nearly every step and falls
+behind for the rest of the day, while a trainer that waits for fewer groups finishes
+most of its steps in half of the time that they may take. So the fast engines go to the
+models whose latest batches were open longest. Until the open times of all models are
+known, each model gets its share of the fast engines, and no model has only slow ones.
 """
 
 from collections import Counter
@@ -42,9 +42,9 @@
 by as much, so a smaller threshold would undo it."""
 
 MIN_FAST_SHARE = 0.5
-"""Engines are exchanged if a model has less than this share of the fast engines that it
-would have in an even distribution, for example none instead of one. Each exchange costs
-two loads."""
+"""While open times are unknown, a model gets a fast engine in exchange for a slow one
+if it has less than this share of the fast engines that an even distribution would give
+it, for example none instead of one. Each exchange costs two loads."""
 
 MAX_EXCESS_FACTOR = 1.25
 """A model keeps up to this many times the engines that it can use: the number of
--- a/src/bankrudder/scheduling/_loads.py
+++ b/src/bankrudder/scheduling/_loads.py
@@ -8,11 +8,11 @@
 
 Policy: engines whose weights no open batch may use load first, models without any
 usable engine before others and older weights before newer ones. Of the other engines,
-half load as soon as the step that waited for the version has taken its slots. The next
-step may still use the previous version and finds the other half. These engines load
-once the version has settled and they have free slots, so that no sample waits for a
-load, or once the version is overdue. So each engine loads only every second version of
-two in quick succession, and never do all engines load at once.
+up to half load as soon as the step that waited for the version has taken its slots. The
+next step may still use the previous version and finds the other half. These engines
+load once the version has settled and they have free slots, so that no sample waits for
+a load, or once the version is overdue. So each engine loads only one of two versions in
+quick succession, and several engines with usable weights never all load at once.
 """
 
 from collections.abc import Mapping, Sequence
@@ -24,18 +24,21 @@
 from bankrudder.world import ModelVersion
 
 EARLY_LOAD_SHARE = 0.5
-"""Share of a model's engines that load a new version at once while the previous version
-may still be used, rounded down so that a single engine waits."""
+"""Largest share of a model's engines that load a new version before it has settled,
+while the previous version may still be used. It is rounded down to whole engines, so
+that a single engine waits."""
 
 PLACEMENT_DELAY = timedelta(milliseconds=150)
-"""Time after a version was named in which the trainer opens the step that waited for it
-and the step's samples take the free slots; 80 ms were measured. Running samples go on
-during a load. So a load on a full engine delays only the samples that wait for its
-slots, while a load on an empty engine keeps all of its slots from the step."""
+"""Time after which a new version is loaded on engines whose weights are still usable.
+About 80 ms after the version was named, the trainer has opened the step that waited for
+it, and the step's samples have taken the free slots. Running samples go on during a
+load. So a load on a full engine delays only the samples that wait for its slots, while
+a load on an empty engine keeps all of its slots from the step."""
 
 SETTLED_LOAD_FACTOR = 1.5
-"""A version has settled after this many times the usual duration of a load. A second
-version in quick succession, which would make the load useless, is named before that."""
+"""A version has settled after this many times the usual duration of a load. If another
+version follows in quick succession and makes the load useless, it is named earlier than
+that."""
 
 OVERDUE_LOAD_FACTOR = 4.0
 """A version is overdue after this many times the usual duration of a load, and engines
@@ -44,8 +47,8 @@
 
 MAX_MODEL_LOADING_SHARE = 0.34
 """Largest share of a model's engines that may load at the same time while their weights
-are still usable, though at least one engine may: an engine that loads takes no new
-samples."""
+are still usable, since an engine that loads takes no new samples. One engine may always
+load."""
 
 
 @dataclass(frozen=True)
@@ -59,7 +62,7 @@
 
     is_loading: bool
     is_full: bool = False
-    """Whether the engine lately reported that hardly any slot is free."""
+    """Whether the engine lately reported that few of its slots are free."""
 
 
 @dataclass(frozen=True)
--- a/src/bankrudder/scheduling/_placement.py
+++ b/src/bankrudder/scheduling/_placement.py
@@ -8,8 +8,8 @@
 accepts from all hosts.
 
 Policy: faster engines go first. Among engines of about the same speed, one with an idle
-connection from this host goes first until the samples of this host fill half more of
-its slots than of the others.
+connection from this host goes first, unless this host's samples occupy at least half
+more of its slots than of the other engine's.
 """
 
 import msgspec
--- a/src/bankrudder/scheduling/_supply.py
+++ b/src/bankrudder/scheduling/_supply.py
@@ -46,7 +46,9 @@
 
 
 def engines_needed(samples: Mapping[ModelName, int], slots: int) -> int:
-    """Return how many engines can run one step of each model at the same time.
+    """Return how many engines one step of each model at the same time needs.
+
+    `SPARE_ENGINES` are included.
 
     Parameters
     ----------
--- a/src/bankrudder/supply/_keeping.py
+++ b/src/bankrudder/supply/_keeping.py
@@ -44,10 +44,11 @@
 
     Parameters
     ----------
-    owners : OwnerBook
+    owners : OwnerRegistry
         Gives the number of samples in the steps of each model.
     fence : callable
-        Fencing token of the duty. A new token causes all orders to be made again.
+        Fencing token of the duty. With a new token, the scaler forgets its earlier
+        orders and needs, and compares the engines that are listed with the need.
     """
 
     def __init__(
