--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -146,7 +146,7 @@
         """Yield the batches without a live owner whose delay for this host is over."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
-            if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
+            if self._has_live_owner(owner) or self._is_newer_than_heartbeats(version):
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
@@ -157,7 +157,7 @@
             if now - since >= self._takeover_rank(batch_id, owner) * TAKEOVER_STAGGER_S:
                 yield batch_id, owner, version
 
-    def _is_newer_than_hosts(self, version: RowVersion) -> bool:
+    def _is_newer_than_heartbeats(self, version: RowVersion) -> bool:
         """Whether an owner row is newer than the heartbeats read by this host.
 
         Such a row may name a run whose first heartbeat has not been read yet, as hosts
--- a/src/bankrudder/batches/_progress.py
+++ b/src/bankrudder/batches/_progress.py
@@ -46,7 +46,7 @@
         bool
             Whether all other progress was saved.
         """
-        is_kept = True
+        is_saved = True
         puts: list[Put] = []
         transaction_bytes = 0
         for sample_id, each in progress:
@@ -57,13 +57,13 @@
                 transaction_bytes + len(value) > MAX_TRANSACTION_BYTES
                 or len(puts) >= MAX_TRANSACTION_ROWS
             ):
-                is_kept &= await self._put_rows(puts)
+                is_saved &= await self._put_rows(puts)
                 puts, transaction_bytes = [], 0
             puts.append(Put(RowKey(PROGRESS_TABLE, model, sample_id), value))
             transaction_bytes += len(value)
         if puts:
-            is_kept &= await self._put_rows(puts)
-        return is_kept
+            is_saved &= await self._put_rows(puts)
+        return is_saved
 
     async def of_model(self, model: ModelName) -> dict[SampleId, Progress]:
         """Return all saved progress of a model."""
--- a/src/bankrudder/batches/_sampling.py
+++ b/src/bankrudder/batches/_sampling.py
@@ -114,7 +114,7 @@
         self._longest_gap_s = 0.0
         self._run_started_at = 0.0
         if progress is not None and can_resume(
-            progress, batch.min_version, single=self._is_single_version
+            progress, batch.min_version, needs_single_version=self._is_single_version
         ):
             self._text.resume(progress)
 
--- a/src/bankrudder/batches/_text.py
+++ b/src/bankrudder/batches/_text.py
@@ -93,17 +93,19 @@
         self._version_events[self._versions.index(version)] += 1
 
 
-def can_resume(progress: Progress, min_version: ModelVersion, *, single: bool) -> bool:
+def can_resume(
+    progress: Progress, min_version: ModelVersion, *, needs_single_version: bool
+) -> bool:
     """Whether a sample may resume from saved progress.
 
     Parameters
     ----------
     min_version : ModelVersion
         Oldest version that may have generated any of the text.
-    single : bool
+    needs_single_version : bool
         Whether a single version must have generated all of the text.
     """
-    if single and len(progress.versions) > 1:
+    if needs_single_version and len(progress.versions) > 1:
         return False
     if len(progress.version_events) != len(progress.versions):
         return False  # saved by a release that did not count events by version
--- a/tests/batches/test_dispatcher.py
+++ b/tests/batches/test_dispatcher.py
@@ -78,7 +78,7 @@
 async def test_requests_of_a_step_share_one_search_of_the_engines(
     directory, manual_clock, monkeypatch
 ):
-    """All samples of a step request slots at once; one search each was too slow."""
+    """One search for each sample of a step would delay the grant of its slots."""
     models = (ModelState("m", 2),)
     for number in range(100):
         entry = Endpoint(f"e{number}", "s", "127.0.0.1:1", "north", 2, models=models)
@@ -147,7 +147,7 @@
     assert await granted_ids(request_slot(dispatcher)) == ["a"]
 
 
-async def test_a_slower_engine_is_taken_only_when_the_quick_one_is_full(
+async def test_a_slower_engine_is_taken_only_when_the_fast_one_is_full(
     dispatcher, directory
 ):
     directory.get("a").note_event_gap(0.1)
--- a/tests/batches/test_ownership.py
+++ b/tests/batches/test_ownership.py
@@ -43,7 +43,7 @@
     assert owners.open_seconds() == {"m": 6.0}
 
 
-class FakePresence:
+class PresenceStub:
     """The heartbeats read up to a version of the store: only this host is alive."""
 
     host = "h"
@@ -65,18 +65,18 @@
         return 1.0
 
 
-async def test_an_owner_newer_than_the_hosts_read_is_not_replaced(manual_clock):
-    hosts = FakePresence(read_version=5)
-    owners = OwnerRegistry(hosts, manual_clock)
+async def test_an_owner_newer_than_the_read_heartbeats_is_not_replaced(manual_clock):
+    heartbeats = PresenceStub(read_version=5)
+    owners = OwnerRegistry(heartbeats, manual_clock)
     owners.put("b1", owner(), 6)
     assert list(owners.takeover_candidates()) == []
-    hosts.read_version = 6
+    heartbeats.read_version = 6
     assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
 
 
-async def test_an_owner_missing_from_the_hosts_read_is_replaced_at_once(
+async def test_an_owner_missing_from_the_read_heartbeats_is_replaced_at_once(
     manual_clock,
 ):
-    owners = OwnerRegistry(FakePresence(read_version=9), manual_clock)
+    owners = OwnerRegistry(PresenceStub(read_version=9), manual_clock)
     owners.put("b1", owner(), 6)
     assert [batch for batch, _, _ in owners.takeover_candidates()] == ["b1"]
--- a/tests/batches/test_text.py
+++ b/tests/batches/test_text.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("versions", "events", "single", "expected"),
+    ("versions", "events", "needs_single_version", "expected"),
     [
         ((3,), (1,), False, True),
         ((2, 3), (1, 1), False, False),
@@ -51,7 +51,9 @@
     ],
 )
 def test_saved_text_can_resume_depending_on_its_versions(
-    versions, events, single, expected
+    versions, events, needs_single_version, expected
 ):
     progress = Progress(("e0",), versions, 1, False, events)
-    assert can_resume(progress, 3, single=single) is expected
+    assert (
+        can_resume(progress, 3, needs_single_version=needs_single_version) is expected
+    )
--- a/tests/orders/test_paces.py
+++ b/tests/orders/test_paces.py
@@ -35,14 +35,14 @@
 async def test_only_changed_paces_are_written(paces, directory, gate):
     directory.get("e1").note_event_gap(0.05)
     await paces.write_changed()
-    told = len(gate.calls)
+    call_count = len(gate.calls)
     directory.get("e1").note_event_gap(0.052)
     await paces.write_changed()
-    assert len(gate.calls) == told
+    assert len(gate.calls) == call_count
     for _ in range(20):
         directory.get("e1").note_event_gap(0.1)
     await paces.write_changed()
-    assert len(gate.calls) == told + 1
+    assert len(gate.calls) == call_count + 1
 
 
 async def test_a_short_slowdown_does_not_change_the_usual_gap(paces, directory):
@@ -84,10 +84,10 @@
     assert paces.usual_gaps == {"e1": 0.04}
 
 
-@pytest.mark.parametrize("told", ["soon", {"gap_s": 0}, {"gap_s": -1.0}, {}])
-async def test_rows_without_a_valid_pace_are_ignored(paces, directory, rows, told):
+@pytest.mark.parametrize("document", ["soon", {"gap_s": 0}, {"gap_s": -1.0}, {}])
+async def test_rows_without_a_valid_pace_are_ignored(paces, directory, rows, document):
     directory.get("e1").note_event_gap(0.04)
     await paces.write_changed()
-    rows.put("paces", "e2", told)
+    rows.put("paces", "e2", document)
     await paces.read_all()
     assert paces.usual_gaps == {"e1": 0.04}
--- a/tests/orders/test_switching.py
+++ b/tests/orders/test_switching.py
@@ -53,7 +53,7 @@
         self.orders_taken = {}
         self.loading = {}
         self.max_loading = {}
-        self.forgotten = []
+        self.removed_rows = []
         self.announced = []
         self.running = 0
 
@@ -77,7 +77,7 @@
         return OrderOutcome.ACCEPTED
 
     async def remove_row(self, engine):
-        self.forgotten.append(engine)
+        self.removed_rows.append(engine)
 
     async def announce(self, run, state):
         engine = run.endpoint
@@ -147,7 +147,7 @@
 
 async def test_the_row_of_an_engine_that_is_gone_is_removed(switch):
     engines = await switch(2, {"m": 2}, gone_engine="e1")
-    assert engines.forgotten == ["e1"]
+    assert engines.removed_rows == ["e1"]
 
 
 async def test_no_more_engines_load_than_samples_can_use(switch):
--- a/tests/scheduling/test_assignment.py
+++ b/tests/scheduling/test_assignment.py
@@ -5,7 +5,7 @@
 from bankrudder.scheduling import assign_engines, followed_models
 
 ENGINES = ["e1", "e2", "e3", "e4", "e5"]
-SIX = [*ENGINES, "e6"]
+SIX_ENGINES = [*ENGINES, "e6"]
 
 
 def counts(assigned):
@@ -92,7 +92,7 @@
 
 
 def test_engines_without_the_first_named_version_are_left_out():
-    versions = {name: {"a": 1, "b": 1, "c": 1} for name in SIX}
+    versions = {name: {"a": 1, "b": 1, "c": 1} for name in SIX_ENGINES}
     assert followed_models(versions, {"a": 2}) == {}
     versions["e1"] = {"a": 2, "b": 1, "c": 1}
     assert followed_models(versions, {"a": 2}) == {"e1": "a"}
@@ -111,56 +111,91 @@
     assert assign_engines(list(versions), shares, followed) == followed
 
 
-THREE = {"a": 1.0, "b": 1.0, "c": 1.0}
-PAIRS = {"e1": "a", "e2": "a", "e3": "b", "e4": "b", "e5": "c", "e6": "c"}
+EQUAL_SHARES = {"a": 1.0, "b": 1.0, "c": 1.0}
+TWO_ENGINES_PER_MODEL = {
+    "e1": "a",
+    "e2": "a",
+    "e3": "b",
+    "e4": "b",
+    "e5": "c",
+    "e6": "c",
+}
 
 
 @pytest.mark.parametrize("unit", [0.25, 1.0, 4.0])
 def test_slow_engines_are_spread_over_models(unit):
-    event_gaps = dict.fromkeys(SIX, 0.038 * unit) | {
+    event_gaps = dict.fromkeys(SIX_ENGINES, 0.038 * unit) | {
         "e3": 0.05 * unit,
         "e4": 0.05 * unit,
     }
-    after = assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps)
+    after = assign_engines(
+        SIX_ENGINES, EQUAL_SHARES, TWO_ENGINES_PER_MODEL, event_gaps=event_gaps
+    )
     slow = [after["e3"], after["e4"]]
     assert len(set(slow)) == 2
-    assert counts(after) == counts(PAIRS)
+    assert counts(after) == counts(TWO_ENGINES_PER_MODEL)
 
 
 def test_fast_engines_that_are_spread_evenly_are_not_exchanged():
-    event_gaps = dict.fromkeys(SIX, 0.038) | {"e1": 0.05, "e3": 0.05}
-    assert assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps) == PAIRS
+    event_gaps = dict.fromkeys(SIX_ENGINES, 0.038) | {"e1": 0.05, "e3": 0.05}
+    assert (
+        assign_engines(
+            SIX_ENGINES, EQUAL_SHARES, TWO_ENGINES_PER_MODEL, event_gaps=event_gaps
+        )
+        == TWO_ENGINES_PER_MODEL
+    )
 
 
 def test_engines_of_unknown_or_similar_speed_are_not_exchanged():
     assert (
-        assign_engines(SIX, THREE, PAIRS, event_gaps={"e3": 0.05, "e4": 0.05}) == PAIRS
+        assign_engines(
+            SIX_ENGINES,
+            EQUAL_SHARES,
+            TWO_ENGINES_PER_MODEL,
+            event_gaps={"e3": 0.05, "e4": 0.05},
+        )
+        == TWO_ENGINES_PER_MODEL
+    )
+    event_gaps = {
+        name: 0.038 + 0.001 * position for position, name in enumerate(SIX_ENGINES)
+    }
+    assert (
+        assign_engines(
+            SIX_ENGINES, EQUAL_SHARES, TWO_ENGINES_PER_MODEL, event_gaps=event_gaps
+        )
+        == TWO_ENGINES_PER_MODEL
     )
-    event_gaps = {name: 0.038 + 0.001 * place for place, name in enumerate(SIX)}
-    assert assign_engines(SIX, THREE, PAIRS, event_gaps=event_gaps) == PAIRS
 
 
-SLOW_OF_A_AND_B = dict.fromkeys(SIX, 0.038) | {"e1": 0.05, "e3": 0.05}
+SLOW_OF_A_AND_B = dict.fromkeys(SIX_ENGINES, 0.038) | {"e1": 0.05, "e3": 0.05}
 
 
 @pytest.mark.parametrize("unit", [0.25, 1.0, 4.0])
 def test_fast_engines_go_to_the_models_with_the_longest_open_batches(unit):
     open_times = {"a": 8.4 * unit, "b": 6.0 * unit, "c": 3.5 * unit}
     after = assign_engines(
-        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+        SIX_ENGINES,
+        EQUAL_SHARES,
+        TWO_ENGINES_PER_MODEL,
+        event_gaps=SLOW_OF_A_AND_B,
+        open_times=open_times,
     )
-    assert counts(after) == counts(PAIRS)
+    assert counts(after) == counts(TWO_ENGINES_PER_MODEL)
     assert {after["e1"], after["e3"]} == {"c"}
 
 
 def test_an_exchange_is_not_undone_by_its_effect():
     open_times = {"a": 8.4, "b": 6.0, "c": 3.5}
     after = assign_engines(
-        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+        SIX_ENGINES,
+        EQUAL_SHARES,
+        TWO_ENGINES_PER_MODEL,
+        event_gaps=SLOW_OF_A_AND_B,
+        open_times=open_times,
     )
     later = {"a": 7.3, "b": 5.2, "c": 4.7}
     again = assign_engines(
-        SIX, THREE, after, event_gaps=SLOW_OF_A_AND_B, open_times=later
+        SIX_ENGINES, EQUAL_SHARES, after, event_gaps=SLOW_OF_A_AND_B, open_times=later
     )
     assert again == after
 
@@ -168,6 +203,10 @@
 def test_models_with_similar_open_times_keep_their_engines():
     open_times = {"a": 5.0, "b": 4.5, "c": 4.0}
     after = assign_engines(
-        SIX, THREE, PAIRS, event_gaps=SLOW_OF_A_AND_B, open_times=open_times
+        SIX_ENGINES,
+        EQUAL_SHARES,
+        TWO_ENGINES_PER_MODEL,
+        event_gaps=SLOW_OF_A_AND_B,
+        open_times=open_times,
     )
-    assert after == PAIRS
+    assert after == TWO_ENGINES_PER_MODEL
--- a/tests/scheduling/test_placement.py
+++ b/tests/scheduling/test_placement.py
@@ -75,8 +75,8 @@
 
 @pytest.mark.parametrize("pace", [0.8, 1.0, 4.0])
 def test_an_engine_with_the_cached_prompt_goes_first_among_equals(pace):
-    home = view(pace=pace, has_cached_prompt=True)
-    assert placement_order(home) < placement_order(view(pace=pace))
+    cached = view(pace=pace, has_cached_prompt=True)
+    assert placement_order(cached) < placement_order(view(pace=pace))
 
 
 @pytest.mark.parametrize("flag", [{"is_trusted": False}, {"is_suspect": True}])
--- a/tests/supply/test_keeping.py
+++ b/tests/supply/test_scaling.py
@@ -12,7 +12,7 @@
 )
 from bankrudder.scheduling._supply import PEAK_PERIOD
 from bankrudder.supply import EngineScaler
-from bankrudder.supply._keeping import UNAVAILABLE_RETRY_S
+from bankrudder.supply._scaling import UNAVAILABLE_RETRY_S
 
 SCALING = Scaling(1, 11, {"north": 1.0, "south": 0.8})
 
@@ -23,7 +23,7 @@
     fence = 7
 
 
-class OwnerBookStub:
+class OwnerRegistryStub:
     is_loaded = True
 
     def __init__(self, **samples):
@@ -48,7 +48,7 @@
         self.clock = clock
         self.platform = PlatformStub()
         self.lease = HeldLease()
-        self.owners = OwnerBookStub()
+        self.owners = OwnerRegistryStub()
         self.directory = EndpointDirectory("north", clock)
         for number in range(4):
             place = "north" if number % 2 else "south"
@@ -89,7 +89,7 @@
     assert await supply.order_engines() == {}
 
 
-async def test_nothing_is_ordered_before_the_owner_book_is_loaded(supply):
+async def test_nothing_is_ordered_before_the_owner_rows_are_loaded(supply):
     supply.owners.samples = {"m0": 80}
     supply.owners.is_loaded = False
     assert await supply.order_engines() == {}
