--- a/src/bankrudder/batches/_values.py
+++ b/src/bankrudder/batches/_values.py
@@ -65,7 +65,8 @@
     trace : str
         W3C ``traceparent`` of the span in which the batch was received, or empty.
     workspace : WorkspaceName
-        Workspace whose callers may read and end the batch; endpoints are told it.
+        Workspace whose callers may read and end the batch. Requests to endpoints name
+        it.
     """
 
     id: BatchId
--- a/src/bankrudder/orders/_planning.py
+++ b/src/bankrudder/orders/_planning.py
@@ -38,7 +38,7 @@
 loading weights."""
 
 FULL_PAUSE_S = 0.2
-"""Pause before a full engine is asked again for its free slots: twice the largest age
+"""Pause before a full engine is polled again for free slots: twice the largest age
 of the state that an engine reports."""
 
 INITIAL_LOAD_TIME = timedelta(seconds=1)
--- a/tests/scheduling/test_loads.py
+++ b/tests/scheduling/test_loads.py
@@ -1,4 +1,4 @@
-"""Engines take turns in loading versions in quick succession, never all at once."""
+"""Engines with usable weights take turns in loading versions in quick succession."""
 
 from datetime import timedelta
 
