--- a/src/bankrudder/batches/_ownership.py
+++ b/src/bankrudder/batches/_ownership.py
@@ -20,7 +20,8 @@
 rarely try at once."""
 
 MAX_TAKEOVER_RANK = 3
-"""Upper limit of the rank that determines how long a host waits."""
+"""Upper limit of a host's rank in the takeover order: even among many hosts, none waits
+longer than 1.2 s."""
 
 NEWEST_BATCH_WEIGHT = 0.3
 """Weight of the newest batch in the moving averages of the size of a model's batches
@@ -109,10 +110,12 @@
         return max(needed, default=ModelVersion(0))
 
     def choose_owner(self, batch: Batch, *, may_choose_this_host: bool) -> Owner:
-        """Return the owner for a new batch: the owner of the model's latest batch.
+        """Return the owner for a new batch.
 
-        That host has connections to the engines and has measured their speed. The owner
-        is empty if no host is known; a host then takes the batch over.
+        The owner of the model's latest batch is preferred, as it has connections to the
+        engines and has measured their speed. If it is not available, the host with the
+        most capacity is chosen. The owner is empty if no host is known; a host then
+        takes the batch over.
         """
         hosts = [
             host
@@ -143,7 +146,7 @@
         """Yield the batches without a live owner whose delay for this host is over."""
         now = self._clock.monotonic()
         for batch_id, (owner, version) in list(self._owners.items()):
-            if self._has_live_owner(owner) or self._is_newer_than_hosts(version):
+            if self._has_live_owner(owner) or self._is_newer_than_heartbeats(version):
                 self._ownerless_since.pop(batch_id, None)
                 continue
             since = self._ownerless_since.setdefault(batch_id, now)
@@ -154,7 +157,7 @@
             if now - since >= self._takeover_rank(batch_id, owner) * TAKEOVER_STAGGER_S:
                 yield batch_id, owner, version
 
-    def _is_newer_than_hosts(self, version: RowVersion) -> bool:
+    def _is_newer_than_heartbeats(self, version: RowVersion) -> bool:
         """Whether an owner row is newer than the heartbeats read by this host.
 
         Such a row may name a run whose first heartbeat has not been read yet, as hosts
