--- a/src/bankrudder/rpc/__init__.py
+++ b/src/bankrudder/rpc/__init__.py
@@ -1,9 +1,9 @@
-"""Remote procedure calls: the gRPC services over this node's parts."""
+"""gRPC services of a node: calls, steps and operator commands."""
 
 from bankrudder.rpc._calls import CallsServicer
 from bankrudder.rpc._context import RpcContext
 from bankrudder.rpc._credentials import server_credentials
-from bankrudder.rpc._limits import HeldRequests
+from bankrudder.rpc._limits import RequestLimiter
 from bankrudder.rpc._operators import OperatorsServicer
 from bankrudder.rpc._server import RpcServer
 from bankrudder.rpc._status import EndpointState, NodeState, StatusBoard
@@ -12,9 +12,9 @@
 __all__ = [
     "CallsServicer",
     "EndpointState",
-    "HeldRequests",
     "NodeState",
     "OperatorsServicer",
+    "RequestLimiter",
     "RpcContext",
     "RpcServer",
     "StatusBoard",
--- a/src/bankrudder/rpc/_calls.py
+++ b/src/bankrudder/rpc/_calls.py
@@ -1,4 +1,4 @@
-"""The gRPC service through which callers call."""
+"""gRPC service ``Calls``: runs the calls of callers and streams the answers."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing
@@ -18,11 +18,11 @@
 from bankrudder.world import Caller, CallKey, Clock, PoolName
 
 DEFAULT_DEADLINE_S = 30.0
-"""Seconds that a call without a deadline may take."""
+"""Time limit of a call whose client sets no deadline."""
 
 
 class CallsServicer(pb_grpc.CallsServicer):
-    """Turns calls on the wire into orders."""
+    """Validates call requests and runs them through the `CallService`."""
 
     def __init__(
         self,
@@ -47,31 +47,31 @@
         metrics: Metrics,
         clock: Clock,
     ) -> Self:
-        """Make a servicer that measures its calls in `metrics`."""
+        """Make a servicer that records the duration of calls in `metrics`."""
         return cls(rpc, calls, tracer, clock, CallTimer.from_config(metrics, clock))
 
     async def Call(
         self, request: pb.CallRequest, context: ServicerContext
     ) -> AsyncIterator[pb.CallEvent]:
-        """Answer a call with the chunks of its answer and an end mark."""
-        size = request.ByteSize()
+        """Run a call; stream the chunks of its answer, then an ``AnswerEnd``."""
+        size_bytes = request.ByteSize()
         parent = metadata_value(context, TRACE_KEY)
         with (
             self._timer.timing(self._pool_label(request.pool)),
             self._tracer.span("rpc.call", parent=parent, pool=request.pool) as span,
-            self._rpc.admitted(context, size) as caller,
+            self._rpc.admitted(context, size_bytes) as caller,
         ):
             deadline = self._clock.monotonic() + _remaining_s(context)
-            order = _order_from(request, context, caller, deadline, span.traceparent)
-            async with aclosing(self._calls.call(order)) as events:
+            spec = _call_spec(request, context, caller, deadline, span.traceparent)
+            async with aclosing(self._calls.call(spec)) as events:
                 async for event in events:
                     yield _event_to_proto(event)
 
     def _pool_label(self, name: str) -> str:
-        return name if self._rpc.knows_pool(PoolName(name)) else UNKNOWN_POOL
+        return name if self._rpc.has_pool(PoolName(name)) else UNKNOWN_POOL
 
 
-def _order_from(
+def _call_spec(
     request: pb.CallRequest,
     context: ServicerContext,
     caller: Caller,
@@ -80,10 +80,12 @@
 ) -> CallSpec:
     data_class = data_class_of(context, caller)
     if not request.pool:
-        raise InvalidError(FailureReason.UNKNOWN_POOL, "a pool is needed", field="pool")
+        raise InvalidError(
+            FailureReason.UNKNOWN_POOL, "the pool name is missing", field="pool"
+        )
     if request.max_tokens < 0:
         raise InvalidError(
-            FailureReason.BAD_REQUEST, "allowed is 0 or more", field="max_tokens"
+            FailureReason.BAD_REQUEST, "must be 0 or more", field="max_tokens"
         )
     return CallSpec(
         caller=caller,
@@ -103,7 +105,9 @@
     if remaining is None:
         return DEFAULT_DEADLINE_S
     if remaining <= 0:
-        raise ExpiredError(FailureReason.DEADLINE_PASSED, "the deadline is past")
+        raise ExpiredError(
+            FailureReason.DEADLINE_PASSED, "the deadline passed before the call ran"
+        )
     return remaining
 
 
--- a/src/bankrudder/rpc/_context.py
+++ b/src/bankrudder/rpc/_context.py
@@ -1,4 +1,7 @@
-"""What the services share: who calls, by the configuration now in force."""
+"""Authentication and admission of requests, shared by the gRPC services.
+
+Callers and their roles come from the configuration in force.
+"""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -7,7 +10,7 @@
 from bankrudder.exceptions import InvalidError, NotRunError
 from bankrudder.failures import FailureReason
 from bankrudder.rpc._identity import authenticate, bearer_hash, require_role
-from bankrudder.rpc._limits import HeldRequests
+from bankrudder.rpc._limits import RequestLimiter
 from bankrudder.rpc._types import ServicerContext
 from bankrudder.world import (
     Caller,
@@ -24,17 +27,17 @@
 
 
 class RpcContext:
-    """Finds the caller of a call.
+    """Authenticates the callers of requests and admits requests within the limits.
 
     Parameters
     ----------
     configuration : ConfigurationService
         Holds the callers and their token hashes.
     operator_token_sha256 : str
-        Hash of the token from the node's settings that may always operate, so
-        that the first configuration can be applied; empty for none.
+        SHA-256 of the operator token in the node's settings, empty for none. This
+        token needs no configuration, so that the first one can be applied.
     limits : RpcLimits, optional
-        Bounds on what callers make this node hold.
+        Limits on the requests in progress; default `RpcLimits` if None.
     """
 
     def __init__(
@@ -43,7 +46,7 @@
         operator_token_sha256: str = "",
         limits: RpcLimits | None = None,
     ):
-        self._held = HeldRequests(limits or RpcLimits())
+        self._limiter = RequestLimiter(limits or RpcLimits())
         self._configuration = configuration
         self._operator_token_sha256 = operator_token_sha256
         self._stopping = False
@@ -56,7 +59,7 @@
     def index(self) -> ConfigurationIndex:
         return self._configuration.index
 
-    def knows_pool(self, name: PoolName) -> bool:
+    def has_pool(self, name: PoolName) -> bool:
         """Return whether the configuration in force has the pool."""
         try:
             self._configuration.known_index.pool(name)
@@ -69,11 +72,11 @@
         return self._stopping
 
     @property
-    def held(self) -> HeldRequests:
-        return self._held
+    def held(self) -> RequestLimiter:
+        return self._limiter
 
     def stop_taking(self) -> None:
-        """Refuse calls from now on."""
+        """Refuse requests that start new work from now on."""
         self._stopping = True
 
     def caller_of(self, context: ServicerContext) -> Caller:
@@ -84,7 +87,7 @@
         NotRunError
             If this node has no configuration, or one that may be too old.
         InvalidError
-            If the token is missing or belongs to nobody.
+            If the token is missing or belongs to no caller.
         """
         return authenticate(context, self._configuration.index)
 
@@ -92,37 +95,38 @@
     def admitted(
         self,
         context: ServicerContext,
-        size: int,
+        size_bytes: int,
         role: CallerRole | None = None,
         *,
         is_new: bool = True,
     ) -> Iterator[Caller]:
-        """Lend the caller of a request of `size` bytes while it is in progress.
+        """Admit a request while the block runs, and yield its caller.
 
-        Raises as `caller_of`, and if the caller lacks `role` or a bound on what
-        this node holds is reached.
+        Raises as `caller_of`, and also if the caller lacks `role` or a limit on
+        the requests in progress is reached.
 
         Parameters
         ----------
         is_new : bool
-            Whether the request begins something, which a stopping node refuses
-            as ``STOPPING``; what ends something open is still taken.
+            Whether the request starts new work, which a stopping node refuses
+            with reason ``STOPPING``; other requests are still admitted, so that
+            open work can be completed.
         """
         if is_new:
-            self._check_taking()
+            self._check_not_stopping()
         caller = self.caller_of(context)
         if role is not None:
             require_role(caller, role)
-        with self._held.holding(caller.name, size):
+        with self._limiter.admit(caller.name, size_bytes):
             yield caller
 
-    def operator_of(self, context: ServicerContext) -> Caller:
-        """Return the operator who calls.
+    def require_operator(self, context: ServicerContext) -> Caller:
+        """Return the caller of a request if it is an operator.
 
         Raises
         ------
         InvalidError
-            If the token belongs to nobody who may operate.
+            If the token is missing or belongs to no operator.
         """
         if self._holds_operator_token(context):
             return Caller(
@@ -136,7 +140,7 @@
         require_role(caller, CallerRole.OPERATOR)
         return caller
 
-    def _check_taking(self) -> None:
+    def _check_not_stopping(self) -> None:
         if self._stopping:
             raise NotRunError(
                 FailureReason.STOPPING,
--- a/src/bankrudder/rpc/_credentials.py
+++ b/src/bankrudder/rpc/_credentials.py
@@ -1,4 +1,4 @@
-"""Credentials of the gRPC listener."""
+"""TLS credentials of the gRPC listener."""
 
 import grpc
 
@@ -6,7 +6,7 @@
 
 
 def server_credentials(settings: TlsSettings) -> grpc.ServerCredentials:
-    """Return the credentials that the settings name.
+    """Return credentials made of the PEM files that the settings name.
 
     Raises
     ------
--- a/src/bankrudder/rpc/_failures.py
+++ b/src/bankrudder/rpc/_failures.py
@@ -1,4 +1,4 @@
-"""Ending a call with a gRPC status that has a failure behind it."""
+"""Ends calls with a gRPC status whose trailer carries a typed failure."""
 
 from typing import NoReturn
 
@@ -24,9 +24,9 @@
 
 
 async def abort_with(context: ServicerContext, failure: Failure) -> NoReturn:
-    """End a call with `failure`; this raises and does not return."""
+    """End a call with `failure`; always raises."""
     status = _STATUS_OF_REASON.get(failure.reason, _STATUS_OF_KIND[failure.kind])
     serialized = failure_to_proto(failure).SerializeToString()
     trailer = ((FAILURE_METADATA_KEY, serialized),)
     await context.abort(status, f"{failure.reason.value}: {failure.detail}", trailer)
-    raise AssertionError("abort returned")
+    raise AssertionError("ServicerContext.abort returned instead of raising")
--- a/src/bankrudder/rpc/_identity.py
+++ b/src/bankrudder/rpc/_identity.py
@@ -1,4 +1,7 @@
-"""Who calls: the identity behind a bearer token, never a field of the request."""
+"""Authentication of callers.
+
+A caller is identified by its bearer token only, never by a field of the request.
+"""
 
 import hashlib
 
@@ -11,7 +14,7 @@
 
 
 def token_hash(token: str) -> str:
-    """Return the hexadecimal SHA-256 by which the configuration knows a token."""
+    """Return the hexadecimal SHA-256 of a token, as the configuration holds it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -37,13 +40,13 @@
     Raises
     ------
     InvalidError
-        If the token is missing or belongs to nobody.
+        If the token is missing or belongs to no caller.
     """
     digest = bearer_hash(context)
     if not digest:
         raise InvalidError(
             FailureReason.UNAUTHENTICATED,
-            "a bearer token is needed",
+            "the bearer token is missing",
             field=AUTHORIZATION_KEY,
         )
     caller = index.caller_by_token_hash(digest)
@@ -60,18 +63,18 @@
     """Raise `InvalidError` unless `caller` has `role`."""
     if role not in caller.roles:
         raise InvalidError(
-            FailureReason.NOT_ALLOWED, f"{caller.name} has not the role {role.value}"
+            FailureReason.NOT_ALLOWED, f"{caller.name} lacks the role {role.value}"
         )
 
 
 def data_class_of(context: ServicerContext, caller: Caller) -> DataClassName:
     """Return the data class that the call names.
 
-    A caller that may use just one data class need not name it.
+    The default is the caller's data class, if it has exactly one.
     """
-    named = metadata_value(context, DATA_CLASS_KEY)
-    if named:
-        return DataClassName(named)
+    data_class = metadata_value(context, DATA_CLASS_KEY)
+    if data_class:
+        return DataClassName(data_class)
     if len(caller.data_classes) == 1:
         return caller.data_classes[0]
     raise InvalidError(
--- a/src/bankrudder/rpc/_guard.py
+++ b/src/bankrudder/rpc/_interceptor.py
@@ -1,4 +1,4 @@
-"""What stands around every method: each way to fail has a typed failure."""
+"""Server interceptor that turns every error of a method into a typed failure."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import aclosing
@@ -17,23 +17,23 @@
 from bankrudder.wire import MAX_REQUEST_BYTES
 
 WHOLE_MESSAGE = "message"
-"""Field that stands for a request as a whole."""
+"""Field that failures name if they concern the request as a whole."""
 
 _log = structlog.get_logger("rpc")
 
 Continuation = Callable[[grpc.HandlerCallDetails], Awaitable["MethodHandler | None"]]
 
 
-class Malformed(msgspec.Struct, frozen=True):
-    """Stands in for a request whose bytes are no message of the schema."""
+class UndecodableRequest(msgspec.Struct, frozen=True):
+    """Placeholder for a request that cannot be decoded."""
 
 
-class Guard(grpc.aio.ServerInterceptor):  # type: ignore[type-arg]
-    """Ends every failed call with a failure, none with a bare status.
+class FailureInterceptor(grpc.aio.ServerInterceptor):  # type: ignore[type-arg]
+    """Ends every failed call with a typed failure, never with a bare gRPC status.
 
-    A method raises `BankrudderError`; anything else that it raises becomes
-    ``OUTCOME_UNKNOWN`` with the reason ``internal``, as it may have run. A
-    cancellation passes.
+    The failure of a `BankrudderError` is sent as it is. Any other exception becomes
+    ``OUTCOME_UNKNOWN`` with the reason ``internal``, because the request may have
+    run. Cancellations pass through.
     """
 
     async def intercept_service(
@@ -41,46 +41,52 @@
         continuation: Continuation,
         handler_call_details: grpc.HandlerCallDetails,
     ) -> MethodHandler:
-        """Return the guarded handler of a method, also if there is none."""
+        """Return the wrapped handler, or one that refuses an unknown method."""
         method = handler_call_details.method
         handler: Any = await continuation(handler_call_details)
         if handler is None:
-            return _unknown_method(method)
-        parse = _lenient(handler.request_deserializer)
+            return _unknown_method_handler(method)
+        deserialize = _tolerant_deserializer(handler.request_deserializer)
         if handler.response_streaming:
             return grpc.unary_stream_rpc_method_handler(
-                _guarded_stream(method, handler.unary_stream),
-                parse,
+                _stream_with_failures(method, handler.unary_stream),
+                deserialize,
                 handler.response_serializer,
             )
         return grpc.unary_unary_rpc_method_handler(
-            _guarded(method, handler.unary_unary), parse, handler.response_serializer
+            _unary_with_failures(method, handler.unary_unary),
+            deserialize,
+            handler.response_serializer,
         )
 
 
-class Oversized(msgspec.Struct, frozen=True):
-    """Stands in for a request of more bytes than are taken."""
+class OversizedRequest(msgspec.Struct, frozen=True):
+    """Placeholder for a request larger than `MAX_REQUEST_BYTES`."""
 
-    size: int
+    size_bytes: int
 
 
-def _lenient(parse: Callable[[bytes], Any]) -> Callable[[bytes], Any]:
-    def parse_or_mark(data: bytes) -> Any:
+def _tolerant_deserializer(
+    deserialize: Callable[[bytes], Any],
+) -> Callable[[bytes], Any]:
+    def deserialize_or_mark(data: bytes) -> Any:
         if len(data) > MAX_REQUEST_BYTES:
-            return Oversized(len(data))
+            return OversizedRequest(len(data))
         try:
-            return parse(data)
+            return deserialize(data)
         except DecodeError:
-            return Malformed()
+            return UndecodableRequest()
 
-    return parse_or_mark
+    return deserialize_or_mark
 
 
-def _guarded(method: str, run: Callable[..., Awaitable[Any]]) -> Callable[..., Any]:
+def _unary_with_failures(
+    method: str, handle: Callable[..., Awaitable[Any]]
+) -> Callable[..., Any]:
     async def guarded(request: Any, context: ServicerContext) -> Any:
         try:
-            _check_whole(method, request)
-            return await run(request, context)
+            _check_decoded(method, request)
+            return await handle(request, context)
         except grpc.aio.AbortError:
             raise
         except Exception as error:
@@ -89,13 +95,13 @@
     return guarded
 
 
-def _guarded_stream(
-    method: str, run: Callable[..., Any]
+def _stream_with_failures(
+    method: str, handle: Callable[..., Any]
 ) -> Callable[..., AsyncIterator[Any]]:
     async def guarded(request: Any, context: ServicerContext) -> AsyncIterator[Any]:
         try:
-            _check_whole(method, request)
-            async with aclosing(run(request, context)) as events:
+            _check_decoded(method, request)
+            async with aclosing(handle(request, context)) as events:
                 async for event in events:
                     yield event
         except grpc.aio.AbortError:
@@ -106,16 +112,16 @@
     return guarded
 
 
-def _check_whole(method: str, request: object) -> None:
+def _check_decoded(method: str, request: object) -> None:
     match request:
-        case Malformed():
+        case UndecodableRequest():
             reason = FailureReason.BAD_REQUEST
-            detail = f"the bytes are no request of {method}"
-        case Oversized():
+            detail = f"the request of {method} cannot be decoded"
+        case OversizedRequest():
             reason = FailureReason.TOO_LARGE
             detail = (
-                f"the request of {method} has {request.size} bytes, "
-                f"allowed are {MAX_REQUEST_BYTES}"
+                f"the request of {method} has {request.size_bytes} bytes, "
+                f"the limit is {MAX_REQUEST_BYTES}"
             )
         case _:
             return
@@ -129,18 +135,18 @@
     return Failure(
         FailureKind.OUTCOME_UNKNOWN,
         FailureReason.INTERNAL,
-        f"{method} failed with {type(error).__qualname__}; the node's log has more",
+        f"{method} failed with {type(error).__qualname__}; see the node's log",
     )
 
 
-def _unknown_method(method: str) -> MethodHandler:
-    detail = f"there is no method {method}"
-    return _refusal(
+def _unknown_method_handler(method: str) -> MethodHandler:
+    detail = f"unknown method {method}"
+    return _refusing_handler(
         Failure(FailureKind.INVALID, FailureReason.BAD_REQUEST, detail, field="method")
     )
 
 
-def _refusal(failure: Failure) -> MethodHandler:
+def _refusing_handler(failure: Failure) -> MethodHandler:
     async def refuse(request: bytes, context: ServicerContext) -> bytes:
         await abort_with(context, failure)
 
--- a/src/bankrudder/rpc/_limits.py
+++ b/src/bankrudder/rpc/_limits.py
@@ -1,4 +1,4 @@
-"""What callers may make one node hold at a time."""
+"""Limits on the requests in progress on a node."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -11,72 +11,82 @@
 RETRY_AFTER_S = 1.0
 
 
-class HeldRequests:
-    """Counts the requests in progress and refuses what exceeds the bounds."""
+class RequestLimiter:
+    """Counts requests in progress, and refuses those that exceed a limit."""
 
     def __init__(self, limits: RpcLimits):
         self._limits = limits
-        self._requests: Counter[CallerName] = Counter()
-        self._bytes: Counter[CallerName] = Counter()
-        self._all_requests = 0
-        self._all_bytes = 0
-        self._refused = 0
+        self._requests_by_caller: Counter[CallerName] = Counter()
+        self._bytes_by_caller: Counter[CallerName] = Counter()
+        self._request_count = 0
+        self._byte_count = 0
+        self._refused_count = 0
 
     @property
     def requests(self) -> int:
-        """Requests in progress."""
-        return self._all_requests
+        """Number of requests in progress."""
+        return self._request_count
 
     @property
-    def held_bytes(self) -> int:
-        """Bytes of the requests in progress."""
-        return self._all_bytes
+    def byte_count(self) -> int:
+        """Total size of the requests in progress."""
+        return self._byte_count
 
     @property
-    def refused(self) -> int:
-        """Requests refused because a bound was reached."""
-        return self._refused
+    def refused_count(self) -> int:
+        """Number of requests refused because of a limit."""
+        return self._refused_count
 
     @contextmanager
-    def holding(self, caller: CallerName, size: int) -> Iterator[None]:
-        """Hold a request of `size` bytes while the block runs.
+    def admit(self, caller: CallerName, size_bytes: int) -> Iterator[None]:
+        """Count a request of `size_bytes` as in progress while the block runs.
 
         Raises
         ------
         NotRunError
-            ``OVERLOADED`` if that exceeds a bound; the detail names it.
+            ``OVERLOADED`` if it exceeds a limit, which the detail names.
         """
-        self._check(caller, size)
-        self._add(caller, 1, size)
+        self._check_limits(caller, size_bytes)
+        self._add(caller, 1, size_bytes)
         try:
             yield
         finally:
-            self._add(caller, -1, -size)
+            self._add(caller, -1, -size_bytes)
 
-    def _check(self, caller: CallerName, size: int) -> None:
+    def _check_limits(self, caller: CallerName, size_bytes: int) -> None:
         limits = self._limits
-        if self._all_requests >= limits.max_requests:
-            self._refuse(f"this node holds {limits.max_requests} requests")
-        if self._requests[caller] >= limits.max_requests_per_caller:
+        if self._request_count >= limits.max_requests:
             self._refuse(
-                f"{caller} has {limits.max_requests_per_caller} requests in progress"
+                f"this node has reached its limit of {limits.max_requests} requests in "
+                "progress"
             )
-        if self._all_bytes + size > limits.max_held_bytes:
-            self._refuse(f"this node would hold over {limits.max_held_bytes} bytes")
-        if self._bytes[caller] + size > limits.max_held_bytes_per_caller:
+        if self._requests_by_caller[caller] >= limits.max_requests_per_caller:
             self._refuse(
-                f"{caller} would have over {limits.max_held_bytes_per_caller} "
-                "bytes in progress"
+                f"{caller} has reached its limit of {limits.max_requests_per_caller} "
+                "requests in progress"
+            )
+        if self._byte_count + size_bytes > limits.max_held_bytes:
+            self._refuse(
+                f"a request of {size_bytes} bytes would exceed this node's limit of "
+                f"{limits.max_held_bytes} bytes in progress"
+            )
+        if (
+            self._bytes_by_caller[caller] + size_bytes
+            > limits.max_held_bytes_per_caller
+        ):
+            self._refuse(
+                f"a request of {size_bytes} bytes would exceed {caller}'s limit of "
+                f"{limits.max_held_bytes_per_caller} bytes in progress"
             )
 
     def _refuse(self, detail: str) -> None:
-        self._refused += 1
+        self._refused_count += 1
         raise NotRunError(FailureReason.OVERLOADED, detail, retry_after_s=RETRY_AFTER_S)
 
-    def _add(self, caller: CallerName, requests: int, size: int) -> None:
-        self._all_requests += requests
-        self._all_bytes += size
-        self._requests[caller] += requests
-        self._bytes[caller] += size
-        if not self._requests[caller]:
-            del self._requests[caller], self._bytes[caller]
+    def _add(self, caller: CallerName, requests: int, size_bytes: int) -> None:
+        self._request_count += requests
+        self._byte_count += size_bytes
+        self._requests_by_caller[caller] += requests
+        self._bytes_by_caller[caller] += size_bytes
+        if not self._requests_by_caller[caller]:
+            del self._requests_by_caller[caller], self._bytes_by_caller[caller]
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -1,4 +1,4 @@
-"""The gRPC service through which operators configure and look."""
+"""gRPC service ``Operators``: configuration, status, drain, traces and usage."""
 
 from collections.abc import Callable
 
@@ -12,35 +12,35 @@
 from bankrudder.v1 import bankrudder_pb2_grpc as pb_grpc
 from bankrudder.world import Revision
 
-USAGE_WINDOWS = 12
-"""Windows that are shown if nobody says how many: a minute at their usual length."""
+DEFAULT_USAGE_WINDOW_COUNT = 12
+"""Usage windows returned by default: one minute at the usual window length."""
 
-MOST_USAGE_WINDOWS = 720
-"""Most windows that are shown, as many as are kept."""
+MAX_USAGE_WINDOW_COUNT = 720
+"""Most usage windows returned by one request: as many as the store keeps."""
 
 RETRY_AFTER_S = 0.5
-"""When to come back while the store is away: about the time of a short outage."""
+"""Retry delay while the store is unavailable: the length of a short outage."""
 
 
 class OperatorsServicer(pb_grpc.OperatorsServicer):
-    """Turns what operators ask for into calls of this node's parts.
+    """Serves requests of operators.
 
     Parameters
     ----------
     drain : callable
-        Begins this node's planned stop.
+        Starts a graceful stop of this node.
     """
 
     def __init__(
         self,
         rpc: RpcContext,
-        board: StatusBoard,
+        status_reporter: StatusBoard,
         tracer: Tracer,
         usage: UsageRows,
         drain: Callable[[], None],
     ):
         self._rpc = rpc
-        self._board = board
+        self._status_reporter = status_reporter
         self._tracer = tracer
         self._usage = usage
         self._drain = drain
@@ -48,8 +48,8 @@
     async def Apply(
         self, request: pb.ApplyRequest, context: ServicerContext
     ) -> pb.ApplyReply:
-        """Replace the configuration if the operator read the newest one."""
-        self._rpc.operator_of(context)
+        """Replace the configuration if the base revision is still the newest."""
+        self._rpc.require_operator(context)
         outcome = await self._rpc.configuration.apply(
             request.configuration.encode(), Revision(request.base_revision)
         )
@@ -63,7 +63,7 @@
         self, request: pb.GetConfigurationRequest, context: ServicerContext
     ) -> pb.GetConfigurationReply:
         """Return the configuration that is in force on this node."""
-        self._rpc.operator_of(context)
+        self._rpc.require_operator(context)
         configuration = self._rpc.configuration
         return pb.GetConfigurationReply(
             revision=configuration.revision,
@@ -73,16 +73,16 @@
     async def Status(
         self, request: pb.StatusRequest, context: ServicerContext
     ) -> pb.StatusReply:
-        """Return what this node says of itself, and what it knows of the others."""
-        self._rpc.operator_of(context)
-        states = self._board.states(request.all_hosts)
+        """Return the status of this node or, on request, of all hosts."""
+        self._rpc.require_operator(context)
+        states = self._status_reporter.states(request.all_hosts)
         return pb.StatusReply(nodes=[_state_to_proto(state) for state in states])
 
     async def Drain(
         self, request: pb.DrainRequest, context: ServicerContext
     ) -> pb.DrainReply:
-        """Begin this node's planned stop."""
-        self._rpc.operator_of(context)
+        """Start a graceful stop of this node."""
+        self._rpc.require_operator(context)
         self._drain()
         return pb.DrainReply()
 
@@ -90,28 +90,30 @@
         self, request: pb.TraceRequest, context: ServicerContext
     ) -> pb.TraceReply:
         """Return the finished spans of one trace that this node holds."""
-        self._rpc.operator_of(context)
+        self._rpc.require_operator(context)
         spans = self._tracer.spans_of(request.trace_id)
         return pb.TraceReply(spans=spans)
 
     async def Usage(
         self, request: pb.UsageRequest, context: ServicerContext
     ) -> pb.UsageReply:
-        """Return the newest windows of usage, from the store."""
-        self._rpc.operator_of(context)
-        most = min(request.windows or USAGE_WINDOWS, MOST_USAGE_WINDOWS)
+        """Return the newest usage windows in the store."""
+        self._rpc.require_operator(context)
+        max_count = min(
+            request.windows or DEFAULT_USAGE_WINDOW_COUNT, MAX_USAGE_WINDOW_COUNT
+        )
         with told_as_failures("nothing was changed", RETRY_AFTER_S):
-            newest_windows = await self._usage.newest_windows(most)
+            newest_windows = await self._usage.newest_windows(max_count)
         return pb.UsageReply(
-            windows=[_window_to_proto(line) for line in newest_windows]
+            windows=[_window_to_proto(summary) for summary in newest_windows]
         )
 
 
-def _window_to_proto(line: WindowSummary) -> pb.UsageWindow:
+def _window_to_proto(summary: WindowSummary) -> pb.UsageWindow:
     return pb.UsageWindow(
-        window=line.window,
-        state=line.state.value,
-        counts={str(name): count for name, count in line.counts.items()},
+        window=summary.window,
+        state=summary.state.value,
+        counts={str(name): count for name, count in summary.counts.items()},
     )
 
 
--- a/src/bankrudder/rpc/_server.py
+++ b/src/bankrudder/rpc/_server.py
@@ -5,7 +5,7 @@
 import grpc
 import grpc.aio
 
-from bankrudder.rpc._guard import Guard
+from bankrudder.rpc._interceptor import FailureInterceptor
 from bankrudder.wire import MAX_RECEIVED_BYTES
 from bankrudder.world import Address
 
@@ -23,13 +23,15 @@
     Parameters
     ----------
     credentials : grpc.ServerCredentials or None
-        TLS settings; None listens in clear.
+        TLS credentials; None listens without TLS.
     """
 
     def __init__(self, address: Address, credentials: grpc.ServerCredentials | None):
         self.address = address
         self._credentials = credentials
-        self._server = grpc.aio.server(interceptors=(Guard(),), options=_OPTIONS)
+        self._server = grpc.aio.server(
+            interceptors=(FailureInterceptor(),), options=_OPTIONS
+        )
 
     @classmethod
     def from_config(
@@ -37,7 +39,7 @@
         address: Address,
         credentials: grpc.ServerCredentials | None = None,
     ) -> Self:
-        """Make a server that does not listen yet."""
+        """Make a server; `start` opens its listener."""
         return cls(address, credentials)
 
     @property
@@ -45,7 +47,7 @@
         return self._server
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises
         ------
@@ -59,5 +61,5 @@
         await self._server.start()
 
     async def stop(self, grace_s: float) -> None:
-        """Take no new call, and wait up to `grace_s` seconds for the others."""
+        """Refuse new calls; wait up to `grace_s` seconds for those in progress."""
         await self._server.stop(grace_s)
--- a/src/bankrudder/rpc/_status.py
+++ b/src/bankrudder/rpc/_status.py
@@ -1,4 +1,4 @@
-"""What a node says of itself, and what it knows of the others."""
+"""Status of this node, and of the other hosts from their heartbeats."""
 
 from collections.abc import Callable, Iterable
 
@@ -17,18 +17,19 @@
     Revision,
 )
 
-SILENT = "its heartbeats stopped"
+HEARTBEATS_STOPPED = "its heartbeats stopped"
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """An endpoint as a node sees it.
+    """Status of an endpoint on the node that reports it.
 
     Attributes
     ----------
     in_flight : int
-        Requests of this node that are in progress on it.
+        Requests from this node that are in progress on the endpoint.
     version : ModelVersion
-        Newest weights that it is known to serve, 0 for a plain service.
+        Newest version of weights that the endpoint serves as far as the node
+        knows, 0 for a plain service.
     """
 
     name: str
@@ -39,16 +40,16 @@
 
 
 class NodeState(msgspec.Struct, frozen=True):
-    """A node's account of itself, or what its heartbeats tell of it.
+    """Status of a node, from the node itself or from its heartbeats.
 
     Attributes
     ----------
     unreachable : str
-        Why it is taken for dead, empty if it is not.
+        Why the node is considered dead, empty if it is not.
     serving : bool
-        Whether it takes calls.
+        Whether the node accepts calls.
     endpoints, memory_bytes, version
-        Known only of the node that is asked.
+        Known only for the node that serves the request.
     """
 
     host: HostId
@@ -65,14 +66,12 @@
 
 
 class StatusBoard:
-    """Answers for this node, and for the others from their heartbeats.
+    """Reports the status of this node, and of others from their heartbeats.
 
     Parameters
     ----------
-    own_heartbeat : callable
-        What this node tells the others.
     is_serving : callable
-        Whether this node takes calls.
+        Returns whether this node accepts calls.
     """
 
     def __init__(
@@ -88,59 +87,63 @@
         self._clock = clock
 
     def states(self, all_hosts: bool) -> tuple[NodeState, ...]:
-        """Return this node's state, or that of every host that is known."""
+        """Return the state of this node, or of all known hosts with this one first."""
         if not all_hosts:
-            return (self._own(),)
-        beats = self._presence.heartbeats()
-        beats.pop(self._presence.host, None)
+            return (self._own_state(),)
+        heartbeats_by_host = self._presence.heartbeats()
+        heartbeats_by_host.pop(self._presence.host, None)
         live = set(self._presence.live_hosts())
         others = (
-            _state(host, beat, is_live=host in live or beat.is_leaving)
-            for host, beat in sorted(beats.items())
+            _state_from_heartbeat(
+                host, heartbeat, is_live=host in live or heartbeat.is_leaving
+            )
+            for host, heartbeat in sorted(heartbeats_by_host.items())
         )
-        return (self._own(), *others)
+        return (self._own_state(), *others)
 
-    def _own(self) -> NodeState:
-        beat = self._presence.own_heartbeat()
+    def _own_state(self) -> NodeState:
+        heartbeat = self._presence.own_heartbeat()
         return msgspec.structs.replace(
-            _state(self._presence.host, beat, is_live=True),
+            _state_from_heartbeat(self._presence.host, heartbeat, is_live=True),
             serving=self._is_serving(),
-            endpoints=tuple(self._endpoints()),
+            endpoints=tuple(self._endpoint_states()),
             memory_bytes=memory_bytes(),
             version=__version__,
         )
 
-    def _endpoints(self) -> Iterable[EndpointState]:
+    def _endpoint_states(self) -> Iterable[EndpointState]:
         now = self._clock.monotonic()
-        for each in self._directory.all():
+        for tracked in self._directory.all():
             yield EndpointState(
-                each.endpoint.id,
-                _endpoint_state(each, now),
-                each.in_flight,
-                each.endpoint.slots,
-                _newest_version(each),
+                tracked.endpoint.id,
+                _endpoint_state_name(tracked, now),
+                tracked.in_flight,
+                tracked.endpoint.slots,
+                _newest_version(tracked),
             )
 
 
-def _state(host: HostId, beat: Heartbeat, *, is_live: bool) -> NodeState:
+def _state_from_heartbeat(
+    host: HostId, heartbeat: Heartbeat, *, is_live: bool
+) -> NodeState:
     return NodeState(
         host,
-        beat.lifetime,
-        beat.data_centre,
-        beat.rpc_address,
-        beat.revision,
-        stopping=beat.is_leaving,
-        serving=is_live and not beat.is_leaving,
-        unreachable="" if is_live else SILENT,
+        heartbeat.lifetime,
+        heartbeat.data_centre,
+        heartbeat.rpc_address,
+        heartbeat.revision,
+        stopping=heartbeat.is_leaving,
+        serving=is_live and not heartbeat.is_leaving,
+        unreachable="" if is_live else HEARTBEATS_STOPPED,
     )
 
 
-def _newest_version(each: TrackedEndpoint) -> ModelVersion:
-    known = (each.version_of(state.model) for state in each.endpoint.models)
+def _newest_version(tracked: TrackedEndpoint) -> ModelVersion:
+    known = (tracked.version_of(state.model) for state in tracked.endpoint.models)
     return max((version for version in known if version), default=ModelVersion(0))
 
 
-def _endpoint_state(each: TrackedEndpoint, now: float) -> str:
-    if each.is_suspended(now):
+def _endpoint_state_name(tracked: TrackedEndpoint, now: float) -> str:
+    if tracked.is_suspended(now):
         return "suspended"
-    return each.endpoint.readiness.value
+    return tracked.endpoint.readiness.value
--- a/src/bankrudder/rpc/_timing.py
+++ b/src/bankrudder/rpc/_timing.py
@@ -1,4 +1,4 @@
-"""How long calls take at the entry, by pool and outcome."""
+"""Histogram of the duration of calls, by pool and outcome."""
 
 import asyncio
 from collections.abc import Iterator
@@ -11,14 +11,15 @@
 from bankrudder.world import Clock
 
 UNKNOWN_POOL = "unknown"
-"""Label of pools that are not configured; a caller may name any number."""
+"""Label for pools that are not configured. Callers may name any pool; one label for
+all unknown names bounds the number of time series."""
 
 ANSWERED = "answered"
 CANCELLED = "cancelled"
 
 
 class CallTimer:
-    """Measures calls from their arrival to their end mark or failure."""
+    """Measures calls from their arrival to the end of the answer or the failure."""
 
     def __init__(self, latency: Histogram, clock: Clock):
         self._latency = latency
@@ -26,7 +27,7 @@
 
     @classmethod
     def from_config(cls, metrics: Metrics, clock: Clock) -> Self:
-        """Make a timer whose histogram is among `metrics`."""
+        """Make a timer whose histogram is registered in `metrics`."""
         latency = metrics.histogram(
             "bankrudder_call_seconds",
             "Seconds from a call's arrival to its end, by pool and outcome.",
@@ -35,7 +36,7 @@
 
     @contextmanager
     def timing(self, pool: str) -> Iterator[None]:
-        """Measure a call that lasts as long as the block."""
+        """Record the duration of the block as that of one call."""
         started = self._clock.monotonic()
         outcome = ANSWERED
         try:
--- a/src/bankrudder/rpc/_trainers.py
+++ b/src/bankrudder/rpc/_trainers.py
@@ -1,4 +1,4 @@
-"""The gRPC service through which trainers open steps and publish weights."""
+"""gRPC service ``Trainers``: opens steps and publishes versions of weights."""
 
 from collections.abc import AsyncIterator, Iterable
 from contextlib import AbstractContextManager, aclosing
@@ -29,7 +29,7 @@
 
 
 class TrainersServicer(pb_grpc.TrainersServicer):
-    """Turns what trainers ask for into orders for steps and versions."""
+    """Serves requests of trainers for steps and versions of weights."""
 
     def __init__(
         self,
@@ -46,22 +46,25 @@
     async def OpenStep(
         self, request: pb.OpenStepRequest, context: ServicerContext
     ) -> AsyncIterator[pb.StepEvent]:
-        """Answer with each sample of the step once, then with its end."""
+        """Stream each sample of the step once, then a ``StepEnd``."""
         parent = metadata_value(context, TRACE_KEY)
         with (
             self._tracer.span("rpc.step", parent=parent, job=request.job) as span,
-            self._trainer_of(context, request) as trainer,
+            self._admitted_trainer(context, request) as trainer,
         ):
-            order = _order_from(request, span.traceparent)
-            async with aclosing(self._steps.open(trainer, order)) as events:
+            spec = _step_spec(request, span.traceparent)
+            async with aclosing(self._steps.open(trainer, spec)) as events:
                 async for event in events:
                     yield _event_to_proto(event)
 
     async def Ack(
         self, request: pb.AckRequest, context: ServicerContext
     ) -> pb.AckReply:
-        """Note what the trainer holds, also of the open steps of a stopping node."""
-        with self._trainer_of(context, request, is_new=False) as trainer:
+        """Record which samples the trainer holds.
+
+        A stopping node still accepts this for its open steps.
+        """
+        with self._admitted_trainer(context, request, is_new=False) as trainer:
             await self._steps.ack(
                 trainer,
                 JobName(request.job),
@@ -75,14 +78,14 @@
     async def Publish(
         self, request: pb.PublishRequest, context: ServicerContext
     ) -> pb.PublishReply:
-        """Make a version of the job's weights the newest one."""
+        """Publish a version of the weights of the job's model; return the newest."""
         _check_not_negative(request, "version")
-        with self._trainer_of(context, request) as trainer:
+        with self._admitted_trainer(context, request) as trainer:
             model = self._steps.model_of(trainer, JobName(request.job))
             version = await self._versions.publish(model, ModelVersion(request.version))
         return pb.PublishReply(version=version)
 
-    def _trainer_of(
+    def _admitted_trainer(
         self, context: ServicerContext, request: Message, *, is_new: bool = True
     ) -> AbstractContextManager[Caller]:
         return self._rpc.admitted(
@@ -94,7 +97,7 @@
     for field in fields:
         if getattr(request, field) < 0:
             raise InvalidError(
-                FailureReason.BAD_REQUEST, "allowed is 0 or more", field=field
+                FailureReason.BAD_REQUEST, "must be 0 or more", field=field
             )
 
 
@@ -102,7 +105,7 @@
     return tuple(SampleSlot(slot.group, slot.index) for slot in slots)
 
 
-def _order_from(request: pb.OpenStepRequest, trace: str) -> StepSpec:
+def _step_spec(request: pb.OpenStepRequest, trace: str) -> StepSpec:
     _check_not_negative(request, "step", "current_version", "max_tokens")
     return StepSpec(
         job=JobName(request.job),
--- a/src/bankrudder/rpc/_types.py
+++ b/src/bankrudder/rpc/_types.py
@@ -1,4 +1,4 @@
-"""Names for the generic types of gRPC as this package uses them."""
+"""Aliases of gRPC's generic types with their parameters."""
 
 from typing import Any, TypeAlias
 
@@ -6,7 +6,7 @@
 import grpc.aio
 
 ServicerContext: TypeAlias = grpc.aio.ServicerContext[Any, Any]
-"""One call, as the server sees it."""
+"""Server-side context of one call."""
 
 MethodHandler: TypeAlias = "grpc.RpcMethodHandler[Any, Any]"
-"""What serves one method."""
+"""Handler of one method."""
