--- a/src/bankrudder/tls/__init__.py
+++ b/src/bankrudder/tls/__init__.py
@@ -1,4 +1,7 @@
-"""TLS as settings; the credentials of gRPC are made where gRPC is used."""
+"""TLS settings, PEM files and HTTP contexts.
+
+The packages that use gRPC make its credentials, so that this one does not import it.
+"""
 
 from bankrudder.tls._contexts import http_server_context
 from bankrudder.tls._files import SECTION, read_pem
--- a/src/bankrudder/tls/_contexts.py
+++ b/src/bankrudder/tls/_contexts.py
@@ -1,13 +1,13 @@
-"""The context of the listener that monitoring asks."""
+"""TLS context of the HTTP listener for monitoring."""
 
 import ssl
 
-from bankrudder.tls._files import SECTION, read_pem, wrong_setting
+from bankrudder.tls._files import SECTION, read_pem, setting_error
 from bankrudder.tls._settings import TlsSettings
 
 
 def http_server_context(settings: TlsSettings) -> ssl.SSLContext:
-    """Return the context for the listener that monitoring asks.
+    """Return the TLS context of the HTTP listener for monitoring.
 
     Raises
     ------
@@ -18,19 +18,19 @@
     try:
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cadata=ca)
     except ssl.SSLError as error:
-        raise wrong_setting(SECTION, "ca", "is not a PEM certificate") from error
+        raise setting_error(SECTION, "ca", "is not a PEM certificate") from error
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load_identity(context, settings)
+    _load_certificate(context, settings)
     if settings.mutual:
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
 
-def _load_identity(context: ssl.SSLContext, settings: TlsSettings) -> None:
+def _load_certificate(context: ssl.SSLContext, settings: TlsSettings) -> None:
     read_pem(settings, "certificate")
     read_pem(settings, "key")
     try:
         context.load_cert_chain(settings.certificate, settings.key)
     except ssl.SSLError as error:
-        detail = "does not fit its key"
-        raise wrong_setting(SECTION, "certificate", detail) from error
+        detail = "does not match the private key"
+        raise setting_error(SECTION, "certificate", detail) from error
--- a/src/bankrudder/tls/_files.py
+++ b/src/bankrudder/tls/_files.py
@@ -1,4 +1,4 @@
-"""Reading of the PEM files that settings name, with the field in each error."""
+"""Reads the PEM files that settings name; each error names the setting."""
 
 from pathlib import Path
 
@@ -7,29 +7,29 @@
 from bankrudder.tls._settings import ClientTlsSettings, TlsSettings
 
 SECTION = "tls"
-"""Section of the settings that errors name unless told otherwise."""
+"""Settings section that errors name by default."""
 
 
 def read_pem(
     settings: TlsSettings | ClientTlsSettings, field: str, section: str = SECTION
 ) -> bytes:
-    """Return what the file holds that a field names.
+    """Return the contents of the file that a field of the settings names.
 
     Raises
     ------
     InvalidError
-        If it cannot be read; its `field` names the setting.
+        If the file cannot be read; the `field` of its failure names the setting.
     """
     path = Path(getattr(settings, field))
     try:
         return path.read_bytes()
     except OSError as error:
         detail = f"{path} cannot be read: {error.strerror}"
-        raise wrong_setting(section, field, detail) from error
+        raise setting_error(section, field, detail) from error
 
 
-def wrong_setting(section: str, field: str, detail: str) -> InvalidError:
-    """Return the error that says what is wrong with a field of a section."""
+def setting_error(section: str, field: str, detail: str) -> InvalidError:
+    """Return an error about a field of a settings section."""
     path = f"{section}.{field}"
     return InvalidError(
         FailureReason.CONFIGURATION_WRONG, f"{path}: {detail}", field=path
--- a/src/bankrudder/tls/_settings.py
+++ b/src/bankrudder/tls/_settings.py
@@ -1,19 +1,19 @@
-"""Settings of TLS: paths of PEM files."""
+"""TLS settings: paths of PEM files."""
 
 import msgspec
 
 
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A node's identity, towards callers, operators and monitoring.
+    """TLS of a node's listeners for callers, operators and monitoring.
 
     Attributes
     ----------
     certificate, key : str
         Paths of the certificate chain and of its private key.
     ca : str
-        Path of the certificates that the other side must be signed by.
+        Path of the CA certificates that peers' certificates are verified against.
     mutual : bool
-        Whether callers, operators and monitoring must show certificates.
+        Whether callers, operators and monitoring must present certificates.
     """
 
     certificate: str
@@ -23,15 +23,15 @@
 
 
 class ClientTlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How one side connects to servers that speak TLS.
+    """TLS of a client.
 
     Attributes
     ----------
     ca : str
-        Path of the certificates that the servers must be signed by.
+        Path of the CA certificates that servers' certificates are verified against.
     certificate, key : str
-        Paths of the certificate chain to show and of its private key; both
-        empty to show none.
+        Paths of the certificate chain to present and of its private key; both
+        empty to present none.
     """
 
     ca: str
--- a/src/bankrudder/wire/__init__.py
+++ b/src/bankrudder/wire/__init__.py
@@ -1,4 +1,4 @@
-"""What both sides of a remote procedure call say alike."""
+"""Wire conventions that nodes and their clients share: metadata and failures."""
 
 from bankrudder.wire._failures import (
     FAILURE_METADATA_KEY,
--- a/src/bankrudder/wire/_failures.py
+++ b/src/bankrudder/wire/_failures.py
@@ -1,4 +1,4 @@
-"""Failures as protobuf messages, and as they travel behind a gRPC status."""
+"""Conversion of failures to and from protobuf messages and gRPC trailers."""
 
 from collections.abc import Iterable
 
@@ -6,7 +6,7 @@
 from bankrudder.v1 import bankrudder_pb2 as pb
 
 FAILURE_METADATA_KEY = "bankrudder-failure-bin"
-"""Key of the trailer that holds a serialized ``Failure``."""
+"""Trailer key under which a gRPC status carries a serialized ``Failure``."""
 
 MILLISECONDS_PER_SECOND = 1000
 
@@ -22,7 +22,7 @@
 
 
 def failure_to_proto(failure: Failure) -> pb.Failure:
-    """Return `failure` as its protobuf message."""
+    """Return the protobuf message of `failure`."""
     retry_after_s = failure.retry_after_s or 0.0
     return pb.Failure(
         kind=_KIND_TO_PROTO[failure.kind],
@@ -37,7 +37,8 @@
 def failure_from_proto(message: pb.Failure) -> Failure:
     """Return the failure that a protobuf message carries.
 
-    A reason that this version does not know becomes ``internal``.
+    A reason that this version does not know becomes ``internal``, and a kind that it
+    does not know becomes ``OUTCOME_UNKNOWN``.
     """
     return Failure(
         kind=_KIND_FROM_PROTO.get(message.kind, FailureKind.OUTCOME_UNKNOWN),
@@ -50,7 +51,7 @@
 
 
 def failure_in(trailer: Iterable[tuple[str, str | bytes]]) -> Failure | None:
-    """Return the failure in the trailing metadata of a status, None without one."""
+    """Return the failure in the trailing metadata of a status, or None."""
     for key, value in trailer:
         if key == FAILURE_METADATA_KEY and isinstance(value, bytes):
             return failure_from_proto(pb.Failure.FromString(value))
--- a/src/bankrudder/wire/_metadata.py
+++ b/src/bankrudder/wire/_metadata.py
@@ -1,4 +1,4 @@
-"""The metadata by which a call tells who makes it, and the size of a request."""
+"""Metadata keys of calls, and size limits of requests."""
 
 AUTHORIZATION_KEY = "authorization"
 DATA_CLASS_KEY = "bankrudder-data-class"
@@ -6,21 +6,22 @@
 BEARER_PREFIX = "Bearer "
 
 MAX_REQUEST_BYTES = 8 * 1024 * 1024
-"""Largest request that a node takes, and that the clients send."""
+"""Largest request that a node accepts and that the clients send."""
 
 MAX_RECEIVED_BYTES = 2 * MAX_REQUEST_BYTES
-"""Largest request that a node reads, so that it can say what is wrong with it."""
+"""Largest request that a node reads. Requests over `MAX_REQUEST_BYTES` up to this
+size are refused with a typed failure; gRPC itself refuses larger ones."""
 
 Metadata = tuple[tuple[str, str], ...]
 
 
 def caller_metadata(token: str, data_class: str = "") -> Metadata:
-    """Return the metadata of each call of the caller with `token`.
+    """Return the metadata for calls of the caller that has `token`.
 
     Parameters
     ----------
     data_class : str
-        Data class of what is sent, empty if the caller has only one.
+        Data class of the payload, empty if the caller may use only one.
     """
     authorization = (AUTHORIZATION_KEY, f"{BEARER_PREFIX}{token}")
     if not data_class:
