--- a/tests/rpc/conftest.py
+++ b/tests/rpc/conftest.py
@@ -1,4 +1,4 @@
-"""A site whose hosts offer the project's own interface."""
+"""Fixture: a site whose hosts serve the gRPC interface."""
 
 import pytest
 
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the project's own interface, under failure."""
+"""Calls over gRPC, with failures of endpoints, hosts and the store."""
 
 import asyncio
 import uuid
@@ -17,21 +17,21 @@
 from outside.site import until
 from outside.store import GateMode
 
-LONG = bytes(100_000)
+LONG_PAYLOAD = bytes(100_000)
 
 
-def minted(milliseconds):
-    """Return a key that was minted at a time since the epoch."""
-    return str(uuid.UUID(int=milliseconds << 80 | 7 << 76 | 2 << 62 | 5))
+def key_minted_at(time_ms):
+    """Return a UUIDv7 key with a time in milliseconds since the epoch."""
+    return str(uuid.UUID(int=time_ms << 80 | 7 << 76 | 2 << 62 | 5))
 
 
-def let_all(site, *faults):
-    """Let the next requests at each service meet with these faults."""
+def fail_next_at_all_services(site, *faults):
+    """Make the next requests at each service fail with these faults, in order."""
     for scorer in site.scorers:
         scorer.fail_next = list(faults)
 
 
-async def test_a_call_is_answered_whole_at_each_host(site):
+async def test_each_host_answers_a_call(site):
     for host in site.hosts:
         async with client(site, hosts=[host]) as caller:
             answer = await caller.call("lookup", b"7", method="find")
@@ -41,15 +41,15 @@
     assert paths == {"/lookup/find"}
 
 
-async def test_data_stay_where_they_may_be(site):
-    """The second host and the second service are where leases may not be."""
+async def test_a_call_runs_only_in_data_centres_allowed_for_its_data_class(site):
+    """The second host and service are in a data centre not allowed for leases."""
     async with client(site, data_class="leases") as caller:
         for _ in range(6):
             await caller.call("lookup", b"lease")
     assert [len(each.arrivals) for each in site.scorers] == [6, 0]
 
 
-async def test_a_host_in_a_wrong_place_names_others(site):
+async def test_a_host_in_a_forbidden_data_centre_refers_the_caller_to_others(site):
     south = [site.hosts[1]]
     async with client(site, data_class="leases", hosts=south) as caller:
         assert (await caller.call("lookup", b"lease")).data == b"answer to lease"
@@ -58,7 +58,7 @@
     assert caught.value.failure.reason is FailureReason.UNKNOWN_POOL
 
 
-async def test_without_an_endpoint_in_an_allowed_place_nothing_runs(site):
+async def test_without_an_endpoint_in_an_allowed_data_centre_nothing_runs(site):
     north = site.hosts[:1]
     site.rows.remove("servers", site.scorers[0].id)
     gone = "fleet: endpoint gone"
@@ -70,7 +70,7 @@
     assert site.scorers[1].arrivals == []
 
 
-async def test_who_may_not_use_a_data_class_is_told(site):
+async def test_callers_without_the_data_class_or_a_valid_token_are_refused(site):
     async with client(site, name="ledger", data_class="leases") as caller:
         with pytest.raises(InvalidError) as caught:
             await caller.call("lookup", b"x")
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("fault", ["500", "full", "reset", "foreign", "truncated"])
-async def test_an_idempotent_call_is_repeated_elsewhere(site, fault):
+async def test_an_idempotent_call_is_retried_on_another_endpoint(site, fault):
     site.scorers[0].fail_next = [fault]
     async with client(site) as caller:
         for _ in range(3):
@@ -101,13 +101,13 @@
 async def test_a_long_answer_is_recorded_too(site):
     key = new_key()
     async with client(site) as caller:
-        first = await caller.call("desk", LONG, key=key)
-        second = await caller.call("desk", LONG, key=key)
-    assert first.data == second.data == b"answer to " + LONG
+        first = await caller.call("desk", LONG_PAYLOAD, key=key)
+        second = await caller.call("desk", LONG_PAYLOAD, key=key)
+    assert first.data == second.data == b"answer to " + LONG_PAYLOAD
     assert (second.replayed, runs(site, key)) == (True, 1)
 
 
-async def test_calls_with_one_key_at_once_run_once(site):
+async def test_concurrent_calls_with_one_key_run_once(site):
     key = new_key()
     for scorer in site.scorers:
         scorer.delay_s = 0.5
@@ -119,7 +119,7 @@
     assert runs(site, key) == 1
 
 
-async def test_a_key_of_another_request_is_refused(site):
+async def test_a_key_reused_for_another_payload_is_refused(site):
     key = new_key()
     async with client(site) as caller:
         await caller.call("desk", b"one", key=key)
@@ -128,7 +128,7 @@
     assert caught.value.failure.reason is FailureReason.KEY_REUSED
 
 
-async def test_a_key_of_another_caller_is_another_operation(site):
+async def test_the_same_key_of_two_callers_means_two_calls(site):
     key = new_key()
     async with client(site) as broker, client(site, name="ledger") as ledger:
         await broker.call("desk", b"one", key=key)
@@ -139,11 +139,11 @@
     ("key", "error", "reason"),
     [
         ("order-1", InvalidError, FailureReason.KEY_MALFORMED),
-        (minted(1), OutcomeUnknownError, FailureReason.KEY_EXPIRED),
-        (minted(1 << 45), InvalidError, FailureReason.KEY_FROM_FUTURE),
+        (key_minted_at(1), OutcomeUnknownError, FailureReason.KEY_EXPIRED),
+        (key_minted_at(1 << 45), InvalidError, FailureReason.KEY_FROM_FUTURE),
     ],
 )
-async def test_a_key_that_says_nothing_is_refused(site, key, error, reason):
+async def test_malformed_expired_and_future_keys_are_refused(site, key, error, reason):
     async with client(site) as caller:
         with pytest.raises(error) as caught:
             await caller.call("desk", b"x", key=key)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize("fault", ["reset", "foreign", "truncated"])
 async def test_a_call_whose_answer_is_lost_is_never_run_again(site, fault):
     key = new_key()
-    let_all(site, *[fault] * 4)
+    fail_next_at_all_services(site, *[fault] * 4)
     async with client(site) as caller:
         for _ in range(3):
             with pytest.raises(OutcomeUnknownError):
@@ -162,9 +162,9 @@
     assert runs(site, key) == 1
 
 
-async def test_an_error_of_the_endpoint_is_recorded(site):
+async def test_an_error_answer_of_the_endpoint_is_recorded(site):
     key = new_key()
-    let_all(site, "500")
+    fail_next_at_all_services(site, "500")
     async with client(site) as caller:
         for _ in range(2):
             with pytest.raises(FailedError):
@@ -172,19 +172,19 @@
     assert runs(site, key) == 1
 
 
-async def test_a_call_that_surely_did_not_run_may_run_later(site):
+async def test_a_call_that_did_not_run_may_be_repeated_with_its_key(site):
     key = new_key()
-    let_all(site, *["full"] * 30)
+    fail_next_at_all_services(site, *["full"] * 30)
     async with client(site, timeout_s=1.0) as caller:
         with pytest.raises(NotRunError):
             await caller.call("desk", b"order", key=key)
-    let_all(site)
+    fail_next_at_all_services(site)
     async with client(site) as caller:
         assert not (await caller.call("desk", b"order", key=key)).replayed
     assert runs(site, key) == 1
 
 
-async def test_a_host_that_ends_in_the_middle_leaves_its_call_unknown(site):
+async def test_a_call_whose_owner_host_is_killed_has_an_unknown_outcome(site):
     key = new_key()
     for scorer in site.scorers:
         scorer.delay_s = 1.0
@@ -199,7 +199,7 @@
     assert runs(site, key) == 1
 
 
-async def test_a_caller_who_leaves_has_its_call_broken_off_and_not_run_again(site):
+async def test_a_cancelled_call_is_aborted_and_not_run_again(site):
     key = new_key()
     for scorer in site.scorers:
         scorer.delay_s = 5.0
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize("attribute", ["lose_replies", "delay_commits"])
-async def test_lost_and_late_replies_of_the_store_double_nothing(site, attribute):
+async def test_lost_and_late_store_replies_cause_no_second_run(site, attribute):
     key = new_key()
     host = site.hosts[0]
     setattr(host.gate, attribute, 2)
@@ -238,7 +238,7 @@
     assert runs(site, key) == 0
 
 
-async def test_an_engine_answers_event_by_event_and_resumes_elsewhere(site):
+async def test_an_interrupted_engine_answer_is_resumed_on_another_engine(site):
     for engine in site.engines:
         engine.cut_after = [2]
     async with client(site) as caller:
--- a/tests/rpc/test_limits.py
+++ b/tests/rpc/test_limits.py
@@ -1,4 +1,4 @@
-"""What callers may make one node hold."""
+"""Limits on the requests in progress on a node."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "caller", "size", "names"),
+    ("limits", "caller", "size_bytes", "detail_pattern"),
     [
         (
             RpcLimits(max_requests=1),
@@ -39,31 +39,31 @@
         ),
     ],
 )
-def test_each_bound_refuses_with_its_name_and_lets_go_again(
-    limits, caller, size, names
+def test_a_refusal_names_the_limit_and_a_later_request_is_admitted(
+    limits, caller, size_bytes, detail_pattern
 ):
-    held = RequestLimiter(limits)
+    limiter = RequestLimiter(limits)
     with (
-        held.admit(DESK, 5),
-        pytest.raises(NotRunError, match=names) as caught,
-        held.admit(caller, size),
+        limiter.admit(DESK, 5),
+        pytest.raises(NotRunError, match=detail_pattern) as caught,
+        limiter.admit(caller, size_bytes),
     ):
         pass
     assert caught.value.failure.reason is FailureReason.OVERLOADED
     assert caught.value.failure.retry_after_s
-    assert (held.requests, held.byte_count, held.refused_count) == (0, 0, 1)
-    with held.admit(caller, size):
-        assert held.requests == 1
+    assert (limiter.requests, limiter.byte_count, limiter.refused_count) == (0, 0, 1)
+    with limiter.admit(caller, size_bytes):
+        assert limiter.requests == 1
 
 
-def test_one_caller_at_its_bound_leaves_room_for_another():
-    held = RequestLimiter(RpcLimits(max_requests_per_caller=1))
-    with held.admit(DESK, 1), held.admit(LEDGER, 1):
-        assert held.requests == 2
+def test_a_caller_at_its_limit_does_not_block_another_caller():
+    limiter = RequestLimiter(RpcLimits(max_requests_per_caller=1))
+    with limiter.admit(DESK, 1), limiter.admit(LEDGER, 1):
+        assert limiter.requests == 2
 
 
-def test_a_request_that_fails_is_let_go():
-    held = RequestLimiter(RpcLimits())
-    with pytest.raises(KeyError), held.admit(DESK, 7):
+def test_a_failed_request_no_longer_counts():
+    limiter = RequestLimiter(RpcLimits())
+    with pytest.raises(KeyError), limiter.admit(DESK, 7):
         raise KeyError
-    assert (held.requests, held.byte_count) == (0, 0)
+    assert (limiter.requests, limiter.byte_count) == (0, 0)
--- a/tests/rpc/test_steps.py
+++ b/tests/rpc/test_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the project's own interface, under failure."""
+"""Steps over gRPC, with failures of hosts and engines."""
 
 import asyncio
 import json
@@ -15,26 +15,26 @@
 SHAPE = StepShape(2, 3)
 
 
-def slow(site, events=20):
-    """Let the engines be so slow that something comes in the middle of a step."""
+def slow_down_engines(site, events=20):
+    """Make engines slow, so that a failure comes while the step is in progress."""
     for engine in site.engines:
         engine.event_gap_s = 0.05
         engine.events = events
 
 
-async def take(client, step=1, job="wording", samples=3, **options):
-    """Return the samples of a step by their slots."""
-    taken = {}
+async def collect_samples(client, step=1, job="wording", samples=3, **options):
+    """Return the samples of a step by slot; each slot may come only once."""
+    samples_by_slot = {}
     async for sample in client.step(job, step, PROMPTS, samples, **options):
-        assert sample.slot not in taken
-        taken[sample.slot] = sample
-    return taken
+        assert sample.slot not in samples_by_slot
+        samples_by_slot[sample.slot] = sample
+    return samples_by_slot
 
 
-def check_whole(taken, shape=SHAPE, events=4, versions=(1,)):
-    """Check that each slot has one whole sample of these versions."""
-    assert set(taken) == shape.slots
-    for sample in taken.values():
+def check_complete(samples_by_slot, shape=SHAPE, events=4, versions=(1,)):
+    """Check that each slot has a complete sample of only these versions."""
+    assert set(samples_by_slot) == shape.slots
+    for sample in samples_by_slot.values():
         lines = sample.text.decode().split("\n")
         name = sample.sample_id
         assert lines == [f"{name}-{number}" for number in range(events)]
@@ -49,56 +49,56 @@
     return next(host for host in site.hosts if host.name == rows[0]["host"])
 
 
-async def test_each_sample_comes_once_and_the_step_is_forgotten(site):
+async def test_each_sample_is_delivered_once_and_the_step_record_is_removed(site):
     async with trainer(site) as client:
-        check_whole(await take(client))
+        check_complete(await collect_samples(client))
         assert client.duplicates_dropped == 0
     await until(lambda: not [key for key in site.rows.rows if key[0] == "owners"])
 
 
-async def test_samples_stay_where_their_data_may_be(site):
+async def test_samples_run_only_in_data_centres_allowed_for_their_data_class(site):
     async with trainer(site) as client:
-        check_whole(await take(client, job="terms"))
+        check_complete(await collect_samples(client, job="terms"))
     assert [bool(each.arrivals) for each in site.engines] == [True, False]
 
 
-async def test_a_step_whose_owner_ends_is_whole_all_the_same(site):
-    slow(site)
+async def test_a_step_is_completed_after_its_owner_host_is_killed(site):
+    slow_down_engines(site)
     async with trainer(site) as client:
-        step = asyncio.ensure_future(take(client))
+        step = asyncio.ensure_future(collect_samples(client))
         await until(lambda: any(engine.arrivals for engine in site.engines))
         await owner_of(site).kill()
-        check_whole(await step, events=20)
+        check_complete(await step, events=20)
 
 
-async def test_a_step_whose_entry_ends_goes_on_elsewhere(site):
-    slow(site, events=30)
+async def test_a_step_is_completed_after_its_entry_host_is_killed(site):
+    slow_down_engines(site, events=30)
     async with trainer(site) as client:
-        step = asyncio.ensure_future(take(client))
+        step = asyncio.ensure_future(collect_samples(client))
         await until(lambda: any(engine.arrivals for engine in site.engines))
         await site.hosts[0].kill()
-        check_whole(await step, events=30)
+        check_complete(await step, events=30)
         assert client.duplicates_dropped == 0
 
 
-async def test_a_planned_stop_hands_open_steps_over(site):
-    slow(site, events=40)
+async def test_a_graceful_stop_hands_over_open_steps(site):
+    slow_down_engines(site, events=40)
     async with trainer(site) as client:
-        step = asyncio.ensure_future(take(client))
+        step = asyncio.ensure_future(collect_samples(client))
         await until(lambda: any(engine.arrivals for engine in site.engines))
         assert await site.hosts[0].stop() == 0
-        check_whole(await step, events=40)
+        check_complete(await step, events=40)
 
 
-async def test_what_the_trainer_holds_does_not_come_again(site):
+async def test_samples_that_the_trainer_holds_are_not_delivered_again(site):
     held = {SampleSlot(0, 0), SampleSlot(1, 2)}
     async with trainer(site) as client:
-        taken = await take(client, held=held)
-    assert set(taken) == SHAPE.slots - held
+        samples_by_slot = await collect_samples(client, held=held)
+    assert set(samples_by_slot) == SHAPE.slots - held
 
 
-async def test_a_step_that_was_opened_with_other_prompts_is_refused(site):
-    slow(site)
+async def test_reopening_a_step_with_other_prompts_is_refused(site):
+    slow_down_engines(site)
     async with trainer(site) as client:
         await anext(client.step("wording", 1, PROMPTS, 3))
         with pytest.raises(InvalidError) as caught:
@@ -114,10 +114,10 @@
         ("wording", "nothing", FailureReason.UNKNOWN_JOB),
     ],
 )
-async def test_a_job_is_its_trainers_alone(site, name, job, reason):
+async def test_only_the_trainer_of_a_job_may_use_it(site, name, job, reason):
     async with trainer(site, name) as client:
         with pytest.raises(InvalidError) as caught:
-            await take(client, job=job)
+            await collect_samples(client, job=job)
         assert caught.value.failure.reason is reason
         with pytest.raises(InvalidError):
             await client.publish(job, 2)
@@ -126,20 +126,20 @@
 async def test_a_step_without_samples_is_refused(site):
     async with trainer(site) as client:
         with pytest.raises(InvalidError):
-            await take(client, samples=0)
+            await collect_samples(client, samples=0)
 
 
 async def test_a_published_version_is_loaded_and_old_ones_are_not_used(site):
     async with trainer(site) as client:
         await client.publish("wording", 3)
-        check_whole(await take(client, max_staleness=1), versions=(2, 3))
+        check_complete(await collect_samples(client, max_staleness=1), versions=(2, 3))
         await client.publish("wording", 2)
-        check_whole(await take(client, step=2), versions=(2, 3))
+        check_complete(await collect_samples(client, step=2), versions=(2, 3))
     assert {order["model"] for each in site.engines for order in each.orders} == {MODEL}
 
 
-async def test_samples_made_too_old_by_a_publication_are_made_anew(site):
-    slow(site, events=15)
+async def test_samples_made_stale_by_a_publication_are_generated_again(site):
+    slow_down_engines(site, events=15)
     versions = {}
     async with trainer(site) as client:
         async for sample in client.step("wording", 1, PROMPTS, 3):
@@ -152,12 +152,12 @@
         assert all(version >= 2 for slot, version in versions.items() if slot != first)
 
 
-async def test_samples_that_are_given_up_fail_the_step_after_the_others(site):
+async def test_a_step_whose_samples_are_given_up_fails(site):
     async with trainer(site) as client:
-        taken = []
+        samples = []
         for engine in site.engines:
             engine.fail_next = ["500"] * 30
         with pytest.raises(FailedError) as caught:
             async for sample in client.step("wording", 1, PROMPTS, 3):
-                taken.append(sample)
+                samples.append(sample)
     assert caught.value.failure.reason is FailureReason.SAMPLES_GIVEN_UP
--- a/tests/rpc/test_usage.py
+++ b/tests/rpc/test_usage.py
@@ -1,4 +1,4 @@
-"""Operators see what each workspace used, from the store."""
+"""Operators read the usage of each workspace from the store."""
 
 import pytest
 
@@ -24,16 +24,16 @@
     assert platform.faults == []
 
 
-async def windows(site, host=0, token=OPERATOR_TOKEN, most=100):
+async def usage_windows(site, host=0, token=OPERATOR_TOKEN, max_count=100):
     async with OperatorClient(site.hosts[host].rpc_address, token) as operator:
-        return await operator.usage(most)
+        return await operator.usage(max_count)
 
 
-def counted(found, state):
-    return sum(each.counts.get("desk", 0) for each in found if each.state == state)
+def desk_request_count(windows, state):
+    return sum(each.counts.get("desk", 0) for each in windows if each.state == state)
 
 
-def is_of_usage(line):
+def concerns_usage(line):
     return line["event"].startswith(("usage", "relay", "leases", "duties"))
 
 
@@ -42,23 +42,25 @@
         for _ in range(3):
             await caller.call("lookup", b"7")
 
-    found = []
+    found_by_host = []
 
-    async def reported():
-        found[:] = [await windows(site, host) for host in range(3)]
-        return all(counted(each, "reported") == 3 for each in found)
+    async def is_reported_on_each_host():
+        found_by_host[:] = [await usage_windows(site, host) for host in range(3)]
+        return all(desk_request_count(each, "reported") == 3 for each in found_by_host)
 
-    def seen():
+    def diagnostics():
         lines = [line for host in site.hosts for line in host.log_lines()]
-        return found, [line for line in lines if is_of_usage(line)]
+        return found_by_host, [line for line in lines if concerns_usage(line)]
 
-    await until(reported, 15.0, seen)
-    found = await windows(site)
-    numbers = [each.window for each in found]
-    assert numbers == list(range(numbers[0], numbers[0] + len(numbers)))
-    assert len(await windows(site, most=1)) == 1
+    await until(is_reported_on_each_host, 15.0, diagnostics)
+    windows = await usage_windows(site)
+    window_numbers = [each.window for each in windows]
+    assert window_numbers == list(
+        range(window_numbers[0], window_numbers[0] + len(window_numbers))
+    )
+    assert len(await usage_windows(site, max_count=1)) == 1
 
 
 async def test_only_operators_see_usage(site):
     with pytest.raises(BankrudderError):
-        await windows(site, token="broker-token")
+        await usage_windows(site, token="broker-token")
--- a/tests/rpc/test_workspaces.py
+++ b/tests/rpc/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Endpoints are told the workspace of a caller of the project's own interface."""
+"""Requests to endpoints carry the workspace of the gRPC caller."""
 
 from bankrudder.world import StepShape
 from outside.own_interface import client, trainer
@@ -6,8 +6,8 @@
 SHAPE = StepShape(2, 2)
 
 
-def told(endpoints):
-    """Return what endpoints were told of whose requests they got."""
+def workspace_headers(endpoints):
+    """Return the sets of workspace headers that endpoints received."""
     return {
         tuple(headers.getall("X-Tenant", []))
         for endpoint in endpoints
@@ -15,23 +15,23 @@
     }
 
 
-async def test_a_call_runs_for_the_workspace_of_its_caller(site):
+async def test_a_call_carries_the_workspace_of_its_caller(site):
     async with client(site) as caller:
         await caller.call("lookup", b"7")
-    assert told(site.scorers) == {("desk",)}
+    assert workspace_headers(site.scorers) == {("desk",)}
 
 
-async def test_a_caller_may_belong_to_no_workspace(site):
+async def test_a_call_of_a_caller_without_workspace_carries_none(site):
     async with client(site, "ledger") as caller:
         await caller.call("lookup", b"7")
-    assert told(site.scorers) == {()}
+    assert workspace_headers(site.scorers) == {()}
 
 
-async def test_the_samples_of_a_step_run_for_the_workspace_of_its_trainer(site):
+async def test_the_samples_of_a_step_carry_the_workspace_of_its_trainer(site):
     async with trainer(site) as client_of_trainer:
         samples = [
             sample
             async for sample in client_of_trainer.step("wording", 1, (b"a", b"b"), 2)
         ]
     assert {sample.slot for sample in samples} == SHAPE.slots
-    assert told(site.engines) == {("models",)}
+    assert workspace_headers(site.engines) == {("models",)}
--- a/tests/tls/certificates.py
+++ b/tests/tls/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made at test time: a committed one would expire."""
+"""Test certificates, made at test time because committed ones would expire."""
 
 import datetime
 import ipaddress
@@ -15,7 +15,7 @@
 
 
 class Authority:
-    """Signs certificates for loopback addresses and the peers' name."""
+    """Signs certificates for loopback addresses and the name ``bankrudder``."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -28,7 +28,7 @@
         self._write("ca.pem", builder.sign(self.key, hashes.SHA256()))
 
     def settings(self, *, mutual=True, authority=None, addresses=(LOOPBACK,)):
-        """Settings of one identity, trusting `authority` or this one."""
+        """Make an identity and return its settings; they trust `authority` or self."""
         key = ec.generate_private_key(ec.SECP256R1())
         name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "bankrudder")])
         names = [x509.IPAddress(ipaddress.ip_address(each)) for each in addresses]
@@ -65,15 +65,15 @@
         (self.folder / name).write_bytes(pem)
 
 
-def client_of(settings):
-    """The same identity as that of a client; without `mutual` it shows nothing."""
+def client_tls_settings(settings):
+    """Return client settings with the same identity, or with none unless `mutual`."""
     if not settings.mutual:
         return ClientTlsSettings(settings.ca)
     return ClientTlsSettings(settings.ca, settings.certificate, settings.key)
 
 
 def client_context(settings):
-    """The context of an HTTP client with the same identity."""
+    """Return the TLS context of an HTTP client with the same identity."""
     context = ssl.create_default_context(cafile=settings.ca)
     context.load_cert_chain(settings.certificate, settings.key)
     return context
--- a/tests/tls/test_links.py
+++ b/tests/tls/test_links.py
@@ -1,4 +1,4 @@
-"""TLS: who is let in, on each kind of link."""
+"""TLS: which peers the gRPC and the monitoring listener accept."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 from bankrudder.rpc import server_credentials
 from bankrudder.tls import http_server_context
 from bankrudder.world import Address, HostId
-from tls.certificates import LOOPBACK, Authority, client_context, client_of
+from tls.certificates import LOOPBACK, Authority, client_context, client_tls_settings
 
 
 @pytest.fixture
@@ -22,13 +22,13 @@
 
 
 @pytest.fixture
-def stranger(tmp_path, authority):
-    """Settings that trust our authority but are signed by another."""
+def foreign_settings(tmp_path, authority):
+    """Settings that trust `authority` but whose certificate another one signed."""
     return Authority(tmp_path / "other").settings(authority=authority)
 
 
 @pytest.mark.parametrize("field", ["certificate", "key", "ca"])
-def test_a_file_that_cannot_be_read_is_named(authority, field):
+def test_an_unreadable_file_is_reported_with_its_setting(authority, field):
     settings = msgspec.structs.replace(
         authority.settings(), **{field: str(authority.folder / "missing")}
     )
@@ -53,30 +53,32 @@
     target = f"{LOOPBACK}:{port}"
     try:
         async with grpc.aio.secure_channel(
-            target, channel_credentials(client_of(client_settings))
+            target, channel_credentials(client_tls_settings(client_settings))
         ) as channel:
             return await channel.unary_unary("/test.Echo/Echo")(b"hello", timeout=10)
     finally:
         await server.stop(None)
 
 
-async def test_a_caller_with_our_certificate_is_served(authority):
+async def test_a_caller_with_a_trusted_certificate_is_served(authority):
     settings = authority.settings()
     assert await echo_over_grpc(settings, settings) == b"hello"
 
 
-async def test_a_caller_with_a_strange_certificate_is_refused(authority, stranger):
+async def test_a_caller_with_an_untrusted_certificate_is_refused(
+    authority, foreign_settings
+):
     with pytest.raises(grpc.aio.AioRpcError) as caught:
-        await echo_over_grpc(authority.settings(), stranger)
+        await echo_over_grpc(authority.settings(), foreign_settings)
     assert caught.value.code() is grpc.StatusCode.UNAVAILABLE
 
 
-async def test_a_caller_without_certificate_is_served_unless_mutual(authority):
+async def test_a_caller_without_certificate_is_served_without_mutual_tls(authority):
     plain = authority.settings(mutual=False)
     assert await echo_over_grpc(plain, plain) == b"hello"
 
 
-async def test_monitoring_is_served_over_tls(authority, stranger):
+async def test_monitoring_is_served_over_tls(authority, foreign_settings):
     settings = authority.settings()
     server = ObserveServer.from_config(
         Address(f"{LOOPBACK}:0"),
@@ -90,5 +92,5 @@
         async with session.get(url, ssl=client_context(settings)) as response:
             assert response.status == 200
         with pytest.raises((aiohttp.ClientError, asyncio.TimeoutError)):
-            await session.get(url, ssl=client_context(stranger))
+            await session.get(url, ssl=client_context(foreign_settings))
     await server.stop()
