--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -19,7 +19,7 @@
 """Most usage windows returned by one request: as many as the store keeps."""
 
 RETRY_AFTER_S = 0.5
-"""Retry delay while the store is unavailable: the length of a short outage."""
+"""Retry delay while the store is unavailable: about the length of a short outage."""
 
 
 class OperatorsServicer(pb_grpc.OperatorsServicer):
--- a/src/bankrudder/tls/_settings.py
+++ b/src/bankrudder/tls/_settings.py
@@ -4,7 +4,7 @@
 
 
 class TlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """TLS of a node's listeners for callers, operators and monitoring.
+    """TLS settings of a node's listeners for callers, operators and monitoring.
 
     Attributes
     ----------
@@ -23,7 +23,7 @@
 
 
 class ClientTlsSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """TLS of a client.
+    """TLS settings of a client.
 
     Attributes
     ----------
--- a/src/bankrudder/wire/_metadata.py
+++ b/src/bankrudder/wire/_metadata.py
@@ -1,4 +1,4 @@
-"""Metadata keys of calls, and size limits of requests."""
+"""Metadata of calls, and size limits of requests."""
 
 AUTHORIZATION_KEY = "authorization"
 DATA_CLASS_KEY = "bankrudder-data-class"
