--- a/src/bankrudder/client/_channel.py
+++ b/src/bankrudder/client/_channel.py
@@ -14,7 +14,7 @@
     error_from,
 )
 from bankrudder.failures import Failure, FailureReason
-from bankrudder.wire import MAX_REQUEST_BYTES, failure_in
+from bankrudder.wire import MAX_REQUEST_BYTES, failure_from_trailer
 from bankrudder.world import Address
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
@@ -84,7 +84,7 @@
     what became of the request.
     """
     trailer: Any = error.trailing_metadata() or ()
-    return failure_in(trailer)
+    return failure_from_trailer(trailer)
 
 
 def _too_large(error: grpc.aio.AioRpcError) -> BankrudderError | None:
--- a/src/bankrudder/client/_credentials.py
+++ b/src/bankrudder/client/_credentials.py
@@ -2,11 +2,11 @@
 
 import grpc
 
-from bankrudder.tls import SECTION, ClientTlsSettings, read_pem
+from bankrudder.tls import TLS_SECTION, ClientTlsSettings, read_pem
 
 
 def channel_credentials(
-    settings: ClientTlsSettings, section: str = SECTION
+    settings: ClientTlsSettings, section: str = TLS_SECTION
 ) -> grpc.ChannelCredentials:
     """Return the credentials of a caller, with its certificate if it has one.
 
--- a/src/bankrudder/node/_interface.py
+++ b/src/bankrudder/node/_interface.py
@@ -29,7 +29,7 @@
     OperatorsServicer,
     RpcContext,
     RpcServer,
-    StatusBoard,
+    StatusReporter,
     TrainersServicer,
     server_credentials,
 )
@@ -113,12 +113,12 @@
 
     def leave(self) -> None:
         """Refuse new calls and steps from now on."""
-        self._context.stop_taking()
+        self._context.refuse_new_requests()
 
     @property
     def in_progress(self) -> int:
         """Number of requests that are not answered yet."""
-        return self._context.held.requests
+        return self._context.limiter.request_count
 
     async def stop(self) -> None:
         """Stop listening and end what is left."""
@@ -142,7 +142,7 @@
             parts.tracer,
         )
         pb_grpc.add_TrainersServicer_to_server(trainers, server)  # type: ignore[no-untyped-call]
-        board = StatusBoard(
+        board = StatusReporter(
             parts.presence, parts.directory, self._is_serving, self._clock
         )
         operators = OperatorsServicer(
--- a/src/bankrudder/rpc/__init__.py
+++ b/src/bankrudder/rpc/__init__.py
@@ -6,7 +6,7 @@
 from bankrudder.rpc._limits import RequestLimiter
 from bankrudder.rpc._operators import OperatorsServicer
 from bankrudder.rpc._server import RpcServer
-from bankrudder.rpc._status import EndpointState, NodeState, StatusBoard
+from bankrudder.rpc._status import EndpointState, NodeState, StatusReporter
 from bankrudder.rpc._trainers import TrainersServicer
 
 __all__ = [
@@ -17,7 +17,7 @@
     "RequestLimiter",
     "RpcContext",
     "RpcServer",
-    "StatusBoard",
+    "StatusReporter",
     "TrainersServicer",
     "server_credentials",
 ]
--- a/src/bankrudder/rpc/_context.py
+++ b/src/bankrudder/rpc/_context.py
@@ -72,10 +72,10 @@
         return self._stopping
 
     @property
-    def held(self) -> RequestLimiter:
+    def limiter(self) -> RequestLimiter:
         return self._limiter
 
-    def stop_taking(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse requests that start new work from now on."""
         self._stopping = True
 
--- a/src/bankrudder/rpc/_limits.py
+++ b/src/bankrudder/rpc/_limits.py
@@ -23,7 +23,7 @@
         self._refused_count = 0
 
     @property
-    def requests(self) -> int:
+    def request_count(self) -> int:
         """Number of requests in progress."""
         return self._request_count
 
@@ -83,10 +83,10 @@
         self._refused_count += 1
         raise NotRunError(FailureReason.OVERLOADED, detail, retry_after_s=RETRY_AFTER_S)
 
-    def _add(self, caller: CallerName, requests: int, size_bytes: int) -> None:
-        self._request_count += requests
+    def _add(self, caller: CallerName, request_count: int, size_bytes: int) -> None:
+        self._request_count += request_count
         self._byte_count += size_bytes
-        self._requests_by_caller[caller] += requests
+        self._requests_by_caller[caller] += request_count
         self._bytes_by_caller[caller] += size_bytes
         if not self._requests_by_caller[caller]:
             del self._requests_by_caller[caller], self._bytes_by_caller[caller]
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -4,7 +4,7 @@
 
 from bankrudder.observe import Tracer
 from bankrudder.rpc._context import RpcContext
-from bankrudder.rpc._status import NodeState, StatusBoard
+from bankrudder.rpc._status import NodeState, StatusReporter
 from bankrudder.rpc._types import ServicerContext
 from bankrudder.store import told_as_failures
 from bankrudder.usage import UsageRows, WindowSummary
@@ -34,7 +34,7 @@
     def __init__(
         self,
         rpc: RpcContext,
-        status_reporter: StatusBoard,
+        status_reporter: StatusReporter,
         tracer: Tracer,
         usage: UsageRows,
         drain: Callable[[], None],
--- a/src/bankrudder/rpc/_status.py
+++ b/src/bankrudder/rpc/_status.py
@@ -65,7 +65,7 @@
     version: str = ""
 
 
-class StatusBoard:
+class StatusReporter:
     """Reports the status of this node, and of others from their heartbeats.
 
     Parameters
--- a/src/bankrudder/tls/_contexts.py
+++ b/src/bankrudder/tls/_contexts.py
@@ -2,7 +2,7 @@
 
 import ssl
 
-from bankrudder.tls._files import SECTION, read_pem, setting_error
+from bankrudder.tls._files import TLS_SECTION, read_pem, setting_error
 from bankrudder.tls._settings import TlsSettings
 
 
@@ -18,7 +18,7 @@
     try:
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cadata=ca)
     except ssl.SSLError as error:
-        raise setting_error(SECTION, "ca", "is not a PEM certificate") from error
+        raise setting_error(TLS_SECTION, "ca", "is not a PEM certificate") from error
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     _load_certificate(context, settings)
     if settings.mutual:
@@ -33,4 +33,4 @@
         context.load_cert_chain(settings.certificate, settings.key)
     except ssl.SSLError as error:
         detail = "does not match the private key"
-        raise setting_error(SECTION, "certificate", detail) from error
+        raise setting_error(TLS_SECTION, "certificate", detail) from error
--- a/src/bankrudder/tls/_files.py
+++ b/src/bankrudder/tls/_files.py
@@ -6,12 +6,12 @@
 from bankrudder.failures import FailureReason
 from bankrudder.tls._settings import ClientTlsSettings, TlsSettings
 
-SECTION = "tls"
+TLS_SECTION = "tls"
 """Settings section that errors name by default."""
 
 
 def read_pem(
-    settings: TlsSettings | ClientTlsSettings, field: str, section: str = SECTION
+    settings: TlsSettings | ClientTlsSettings, field: str, section: str = TLS_SECTION
 ) -> bytes:
     """Return the contents of the file that a field of the settings names.
 
--- a/src/bankrudder/wire/__init__.py
+++ b/src/bankrudder/wire/__init__.py
@@ -3,7 +3,7 @@
 from bankrudder.wire._failures import (
     FAILURE_METADATA_KEY,
     failure_from_proto,
-    failure_in,
+    failure_from_trailer,
     failure_to_proto,
 )
 from bankrudder.wire._metadata import (
@@ -26,6 +26,6 @@
     "TRACE_KEY",
     "caller_metadata",
     "failure_from_proto",
-    "failure_in",
+    "failure_from_trailer",
     "failure_to_proto",
 ]
--- a/src/bankrudder/wire/_failures.py
+++ b/src/bankrudder/wire/_failures.py
@@ -50,7 +50,7 @@
     )
 
 
-def failure_in(trailer: Iterable[tuple[str, str | bytes]]) -> Failure | None:
+def failure_from_trailer(trailer: Iterable[tuple[str, str | bytes]]) -> Failure | None:
     """Return the failure in the trailing metadata of a status, or None."""
     for key, value in trailer:
         if key == FAILURE_METADATA_KEY and isinstance(value, bytes):
--- a/tests/rpc/test_limits.py
+++ b/tests/rpc/test_limits.py
@@ -51,19 +51,23 @@
         pass
     assert caught.value.failure.reason is FailureReason.OVERLOADED
     assert caught.value.failure.retry_after_s
-    assert (limiter.requests, limiter.byte_count, limiter.refused_count) == (0, 0, 1)
+    assert (limiter.request_count, limiter.byte_count, limiter.refused_count) == (
+        0,
+        0,
+        1,
+    )
     with limiter.admit(caller, size_bytes):
-        assert limiter.requests == 1
+        assert limiter.request_count == 1
 
 
 def test_a_caller_at_its_limit_does_not_block_another_caller():
     limiter = RequestLimiter(RpcLimits(max_requests_per_caller=1))
     with limiter.admit(DESK, 1), limiter.admit(LEDGER, 1):
-        assert limiter.requests == 2
+        assert limiter.request_count == 2
 
 
 def test_a_failed_request_no_longer_counts():
     limiter = RequestLimiter(RpcLimits())
     with pytest.raises(KeyError), limiter.admit(DESK, 7):
         raise KeyError
-    assert (limiter.requests, limiter.byte_count) == (0, 0)
+    assert (limiter.request_count, limiter.byte_count) == (0, 0)
