--- a/src/bankrudder/client/_channel.py
+++ b/src/bankrudder/client/_channel.py
@@ -14,7 +14,7 @@
     error_from,
 )
 from bankrudder.failures import Failure, FailureReason
-from bankrudder.wire import MAX_REQUEST_BYTES, failure_in
+from bankrudder.wire import MAX_REQUEST_BYTES, failure_from_trailer
 from bankrudder.world import Address
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
@@ -86,7 +86,7 @@
     whether the request ran.
     """
     metadata: Any = error.trailing_metadata() or ()
-    return failure_in(metadata)
+    return failure_from_trailer(metadata)
 
 
 def _size_error(error: grpc.aio.AioRpcError) -> BankrudderError | None:
--- a/src/bankrudder/wire/__init__.py
+++ b/src/bankrudder/wire/__init__.py
@@ -1,9 +1,9 @@
-"""What both sides of a remote procedure call say alike."""
+"""Wire conventions that nodes and their clients share: metadata and failures."""
 
 from bankrudder.wire._failures import (
     FAILURE_METADATA_KEY,
     failure_from_proto,
-    failure_in,
+    failure_from_trailer,
     failure_to_proto,
 )
 from bankrudder.wire._metadata import (
@@ -26,6 +26,6 @@
     "TRACE_KEY",
     "caller_metadata",
     "failure_from_proto",
-    "failure_in",
+    "failure_from_trailer",
     "failure_to_proto",
 ]
