--- a/src/bankrudder/feeds/_cache.py
+++ b/src/bankrudder/feeds/_cache.py
@@ -63,7 +63,10 @@
         self._wake_all_waiters()
 
     def remember(self, row: Row) -> None:
-        """Remember the value of a row that this host read, for touched rows."""
+        """Keep the value of a row that this host read.
+
+        A message about touched rows does not repeat their values.
+        """
         self._values[row.key] = row.value
 
     def forget(self, key: RowKey) -> None:
--- a/src/bankrudder/feeds/_readers.py
+++ b/src/bankrudder/feeds/_readers.py
@@ -108,7 +108,7 @@
 
             self._publisher_link = PublisherLink(self._address)
             self._publisher = self._make_publisher(self._publisher_link.send)
-        # Other hosts depend on its reads, so its loss must be detected soon.
+        # Subscribers depend on a reader, so they must detect its loss soon.
         self._presence.set_reads_for_others(True)
         self._store.set_role(FeedRole.READER, self._publisher)
 
--- a/src/bankrudder/store/_following.py
+++ b/src/bankrudder/store/_following.py
@@ -10,7 +10,7 @@
 from bankrudder.store._values import ABSENT, RemovedRow, Row, RowKey, RowVersion
 from bankrudder.world import Clock
 
-WAIT_S = 0.8
+FEED_WAIT_S = 0.8
 """Time for which the store may hold a read of the feed while nothing changes. A
 connection that went silent is detected after this time plus the timeout of the read;
 the sum stays below the two seconds in which a configuration must be in force."""
@@ -46,7 +46,7 @@
         on_row: Callable[[Row], None],
         on_removed: Callable[[RowKey], None],
         pause_s: Callable[[], float] = lambda: 0.0,
-        wait_s: Callable[[], float] = lambda: WAIT_S,
+        wait_s: Callable[[], float] = lambda: FEED_WAIT_S,
     ):
         self._store = store
         self._table = table
--- a/src/bankrudder/store/_outages.py
+++ b/src/bankrudder/store/_outages.py
@@ -23,7 +23,8 @@
 class OutageEnded:
     """The store answers again.
 
-    Calls that began before `answered_call_began` and have no answer yet will get none.
+    Calls that began before `answered_call_began` and have no answer yet are unlikely
+    to get one.
     """
 
     answered_call_began: float
--- a/src/bankrudder/store/_recovering.py
+++ b/src/bankrudder/store/_recovering.py
@@ -95,7 +95,7 @@
 
     @property
     def failing_since(self) -> float | None:
-        """Monotonic time since when calls fail, None if the last call succeeded.
+        """Monotonic time since when calls are not served, None if the last one was.
 
         Unlike an outage this includes calls that are refused by a rate limit, as when
         the store serves other hosts but not this one.
@@ -262,6 +262,6 @@
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await self._store.read(_PROBE_TABLE, "", limit=1)
         except (StoreUnavailableError, TimeoutError):
-            return  # the outage continues; its start was logged
+            return  # the store still does not serve this host; the next probe follows
         self._note_outcome(None)
         self._note_answer(began)
--- a/src/bankrudder/world/_configuration.py
+++ b/src/bankrudder/world/_configuration.py
@@ -10,7 +10,7 @@
 class Configuration(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True
 ):
-    """The document in force on every node, replaced as a whole by a new revision.
+    """The document in force on every host, replaced as a whole by a new revision.
 
     The order within each tuple has no meaning; names are unique within a tuple.
     """
--- a/tests/store/test_following.py
+++ b/tests/store/test_following.py
@@ -35,7 +35,7 @@
 async def until(condition, limit_s=5.0):
     began = time.monotonic()
     while not condition():
-        assert time.monotonic() - began < limit_s, "not in time"
+        assert time.monotonic() - began < limit_s, "condition not met in time"
         await asyncio.sleep(0.01)
     return time.monotonic() - began
 
