--- a/src/bankrudder/duties/_duty.py
+++ b/src/bankrudder/duties/_duty.py
@@ -20,7 +20,8 @@
 platform is fifty times slower than usual."""
 
 MIN_LEASE_LEFT_S = 0.1
-"""Minimum remaining time of the lease for a call to start: about ten usual calls."""
+"""Minimum remaining time of the lease for a call to start: about the usual duration
+of ten calls."""
 
 CALL_RATE_SHARE = 0.5
 """Maximum share of the platform's call rate that one duty uses. The rest is left for
@@ -55,7 +56,7 @@
         self._host = host
         self._pause_s = 1 / (CALL_RATE_SHARE * calls_per_s)
         self._clock = clock
-        self._next_at = 0.0
+        self._next_call_at = 0.0
         self._call_lock = asyncio.Lock()
 
     @property
@@ -66,8 +67,8 @@
     async def call(self, call: DutyCall) -> DutyOutcome:
         """Make a call if this host holds the duty."""
         async with self._call_lock:
-            await asyncio.sleep(max(self._next_at - self._clock.monotonic(), 0.0))
-            self._next_at = self._clock.monotonic() + self._pause_s
+            await asyncio.sleep(max(self._next_call_at - self._clock.monotonic(), 0.0))
+            self._next_call_at = self._clock.monotonic() + self._pause_s
             outcome = await self._call_while_held(call)
         write_log = _log.info if outcome is DutyOutcome.DONE else _log.warning
         write_log(
--- a/src/bankrudder/leases/_duty.py
+++ b/src/bankrudder/leases/_duty.py
@@ -31,5 +31,7 @@
             await work()
         except StoreUnavailableError as error:
             _log.warning(
-                "leases: duty put off", duty=duty, reason=error.error_kind.value
+                "leases: duty work failed, store unavailable",
+                duty=duty,
+                reason=error.error_kind.value,
             )
--- a/src/bankrudder/leases/_lease.py
+++ b/src/bankrudder/leases/_lease.py
@@ -39,7 +39,8 @@
 LEASES_TABLE = "leases"
 
 RENEWALS_PER_LEASE = 4
-"""Renewals per lease duration. Three of them may fail before the lease lapses."""
+"""Renewals per lease duration: three are due before the lease lapses. One that fails is
+repeated after `RETRY_PAUSE_S`."""
 
 SAFETY_MARGIN_SHARE = 0.2
 """Share of the lease duration, at its end, in which the holder no longer acts. Messages
@@ -159,7 +160,11 @@
             await asyncio.sleep(pause_s)
 
     async def release(self) -> None:
-        """Release the lease before a planned stop."""
+        """Release the lease before a planned stop.
+
+        The row then names no host. Another host still waits for a lease duration before
+        it acquires the lease, because messages of this host may be in transit.
+        """
         if not self._fence:
             return
         row = LeaseRow(HostId(""), Lifetime(""), self._renewal_count + 1)
--- a/src/bankrudder/presence/_cleaning.py
+++ b/src/bankrudder/presence/_cleaning.py
@@ -17,7 +17,7 @@
 )
 
 CLEANING_PAUSE_S = 60.0
-"""Pause between two searches for such rows."""
+"""Pause between two searches for stale rows."""
 
 STALE_ROW_AGE_S = 600.0
 """Silence after which a host is considered removed: fifty times the pause between two
@@ -41,7 +41,7 @@
             transaction = Transaction((Expectation(key, version),), (), (key,))
             outcome = await self._store.commit(transaction)
             _log.info(
-                "presence: row of a host that is gone removed",
+                "presence: removal of a stale row attempted",
                 host=host,
                 is_removed=isinstance(outcome, Committed),
             )
--- a/src/bankrudder/presence/_hosts.py
+++ b/src/bankrudder/presence/_hosts.py
@@ -29,15 +29,19 @@
 from bankrudder.world import Address, Clock, DataCentreName, HostId, Revision
 
 IDLE_HEARTBEATS_PER_S = 30.0
+"""Maximum heartbeats per second of all idle hosts together. In a large fleet each host
+therefore sends heartbeats less often."""
+
 BUSY_HEARTBEATS_PER_S = 60.0
-"""Maximum heartbeats per second of all idle hosts, and of all busy hosts. Together they
-are well below the write rate that one part of the store accepts. In a large fleet each
-host therefore sends heartbeats less often."""
+"""Maximum heartbeats per second of all busy hosts together. Added to those of the idle
+hosts, they are well below the write rate that one part of the store accepts."""
 
 MAX_AGE_INTERVALS = 2.0
+"""Maximum age of a host's last heartbeat, in heartbeat intervals, at which the host
+still gets new work. The host of an older heartbeat may be dead."""
+
 MAX_AGE_SLACK_S = 0.4
-"""Maximum age of a host's last heartbeat, in intervals plus the time until a heartbeat
-is read, at which the host still gets new work. An older one may be of a dead host."""
+"""Time added to `MAX_AGE_INTERVALS` for the delay until a heartbeat is read."""
 
 MAX_MISSED_HEARTBEATS = 3
 """Heartbeat intervals without a heartbeat after which a host is considered dead. A
@@ -51,7 +55,8 @@
 """Share of the store's read rate that reading heartbeats may use."""
 
 DEFAULT_STORE_READS_PER_S = 2000.0
-"""Store reads per second if no read pace is given: the rate of the small sites."""
+"""Store reads per second if no read pace is given: the rate that the stores of small
+sites accept."""
 
 
 class Presence:
@@ -127,7 +132,7 @@
 
     @property
     def is_announced(self) -> bool:
-        """Whether others can know of this run: the store has answered a heartbeat."""
+        """Whether other hosts may know of this run: one heartbeat write has ended."""
         return self._sender.was_answered
 
     @property
--- a/src/bankrudder/presence/_seen.py
+++ b/src/bankrudder/presence/_seen.py
@@ -22,8 +22,8 @@
 
     Attributes
     ----------
-    at : float
-        Monotonic time at which it was read.
+    seen_at : float
+        Monotonic time at which the heartbeat was read.
     version : RowVersion
         Version of the host's row.
     """
--- a/src/bankrudder/presence/_sending.py
+++ b/src/bankrudder/presence/_sending.py
@@ -86,12 +86,12 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last answered heartbeat was not written."""
+        """Whether the last heartbeat whose write has ended was not written."""
         return self._failure_count > 0
 
     @property
     def was_answered(self) -> bool:
-        """Whether the store has accepted or refused a heartbeat of this run."""
+        """Whether the write of a heartbeat of this run has ended, with any outcome."""
         return self._was_answered
 
     @property
--- a/src/bankrudder/presence/_values.py
+++ b/src/bankrudder/presence/_values.py
@@ -12,8 +12,10 @@
 HOSTS_TABLE = "hosts"
 
 NO_DATA_CENTRE = DataCentreName("")
+"""Data centre of a host that gives none."""
+
 NO_ADDRESS = Address("")
-"""Placeholders for a host that gives no data centre, or accepts no remote calls."""
+"""Address of a listener that a host does not have."""
 
 HEARTBEAT_INTERVAL_S = 0.5
 """Shortest time between two heartbeats; that of a host that other hosts wait for."""
