--- a/src/bankrudder/usage/_reporting.py
+++ b/src/bankrudder/usage/_reporting.py
@@ -12,11 +12,12 @@
 from bankrudder.usage._windows import ReportSchedule
 
 REPORT_PAUSE_S = 0.25
-"""Pause between two checks whether a window can be reported: a twentieth of a usual
-window. A check that finds nothing to report makes no call to the store."""
+"""Pause between two checks of whether a window can be reported: a twentieth of the
+usual window length. A check that finds nothing to report makes no call to the store."""
 
 CLEANUP_INTERVAL_WINDOWS = 60
-"""Number of windows between two removals of old reports: a few minutes."""
+"""Number of windows between two removals of old reports: a few minutes at the usual
+window length."""
 
 _log = structlog.get_logger("usage")
 
@@ -135,7 +136,8 @@
     def _is_next_complete(self) -> bool:
         """Whether every host has sent a heartbeat since the end of the next window.
 
-        If so, no counts of that window can be missing from the store.
+        Otherwise a silent host may still hold counts of that window that it has not
+        written to the store.
         """
         ended_for_s = self._time.now() - self._schedule.end_of(self._next_window)
         return self._has_heard_all_hosts(max(ended_for_s, 0.0))
@@ -143,7 +145,8 @@
     async def _settle_next(self) -> None:
         counts = await self._rows.counts(self._next_window)
         if not counts and self._next_window < self._skip_empty_before:
-            # No request has run yet. The service may not have been deployed then.
+            # The first holder does not report empty windows before the first counted
+            # request: the service may not have been deployed at that time.
             self._next_window = UsageWindow(self._next_window + 1)
             return
         self._skip_empty_before = UsageWindow(0)
--- a/src/bankrudder/usage/_storage.py
+++ b/src/bankrudder/usage/_storage.py
@@ -43,7 +43,7 @@
 
 MIN_WRITE_PAUSE_S = 0.5
 """Minimum pause between two writes of a host's counts. A host that crashes loses the
-counts of one pause."""
+counts since its last write."""
 
 FLEET_WRITES_PER_S = 75.0
 """Writes of counts per second by all hosts together. All hosts write to the part of the
@@ -51,7 +51,8 @@
 accepts."""
 
 COMMIT_TIMEOUT_S = 2.5
-"""Time for which a write with an unknown outcome is retried."""
+"""Time after which a write is not retried any more, whether its outcome is unknown or
+it was refused."""
 
 RETAINED_REPORT_COUNT = 720
 """Number of reports kept in the store: one hour of windows of the usual length."""
@@ -221,7 +222,7 @@
 
     Parameters
     ----------
-    hosts : callable
+    host_count : callable
         Returns the number of known hosts.
     """
 
@@ -231,12 +232,12 @@
         rows: UsageRows,
         host: HostId,
         lifetime: Lifetime,
-        hosts: Callable[[], int],
+        host_count: Callable[[], int],
     ):
         self._counter = counter
         self._rows = rows
         self._writer = f"{host}.{lifetime}"
-        self._host_count = hosts
+        self._host_count = host_count
         self._versions: dict[UsageWindow, RowVersion] = {}
 
     async def run(self) -> None:
--- a/src/bankrudder/usage/_table.py
+++ b/src/bankrudder/usage/_table.py
@@ -43,19 +43,23 @@
 
     Parameters
     ----------
+    settled : sequence of WindowSummary
+        Windows whose reports are stored.
     counting : mapping
         Stored counts by window. Counts of settled windows are ignored.
     max_count : int
         Maximum number of windows to return.
     """
-    lines = {each.window: each for each in settled}
+    summaries = {each.window: each for each in settled}
     for window, counts in counting.items():
-        lines.setdefault(window, WindowSummary(window, WindowState.COUNTING, counts))
-    if not lines:
+        summaries.setdefault(
+            window, WindowSummary(window, WindowState.COUNTING, counts)
+        )
+    if not summaries:
         return []
-    first = max(min(lines), max(lines) - max_count + 1)
-    last = max(lines)
+    first = max(min(summaries), max(summaries) - max_count + 1)
+    last = max(summaries)
     return [
-        lines.get(window, WindowSummary(window, WindowState.MISSING, {}))
+        summaries.get(window, WindowSummary(window, WindowState.MISSING, {}))
         for window in map(UsageWindow, range(first, last + 1))
     ]
--- a/src/bankrudder/usage/_time.py
+++ b/src/bankrudder/usage/_time.py
@@ -101,11 +101,11 @@
 
     def __init__(
         self,
-        store: StoreClock,
+        store_clock: StoreClock,
         wall_ahead_values: Callable[[], Collection[float]],
         clock: Clock,
     ):
-        self._store = store
+        self._store_clock = store_clock
         self._wall_ahead_values = wall_ahead_values
         self._clock = clock
 
@@ -119,7 +119,7 @@
         Until an offset to the store's clock is known, this host's own wall clock is
         used.
         """
-        store_time = self._store.time_at(monotonic_s)
+        store_time = self._store_clock.time_at(monotonic_s)
         ahead = self._wall_ahead_values()
         if store_time is None or not ahead:
             return self._clock.wall() - (self._clock.monotonic() - monotonic_s)
--- a/tests/usage/test_time.py
+++ b/tests/usage/test_time.py
@@ -12,39 +12,39 @@
 clocks."""
 
 
-def record_answer_after(clock, store, round_trip_s=0.004):
+def record_answer_after(clock, store_clock, round_trip_s=0.004):
     sent_at = clock.monotonic()
     clock.advance(round_trip_s / 2)
     store_time = clock.monotonic() + STORE_AHEAD_S
     clock.advance(round_trip_s / 2)
-    store.record_store_time(sent_at, store_time)
+    store_clock.record_store_time(sent_at, store_time)
 
 
 @pytest.fixture
-def store(manual_clock):
-    store = StoreClock(manual_clock)
-    record_answer_after(manual_clock, store)
-    return store
+def store_clock(manual_clock):
+    store_clock = StoreClock(manual_clock)
+    record_answer_after(manual_clock, store_clock)
+    return store_clock
 
 
-def test_the_store_clock_is_derived_from_an_answer(manual_clock, store):
-    assert store.time_at(manual_clock.monotonic()) == pytest.approx(
+def test_the_store_clock_is_derived_from_an_answer(manual_clock, store_clock):
+    assert store_clock.time_at(manual_clock.monotonic()) == pytest.approx(
         manual_clock.monotonic() + STORE_AHEAD_S
     )
 
 
 def test_the_store_clock_is_unknown_before_the_first_answer(manual_clock):
-    store = StoreClock(manual_clock)
-    store.record_store_time(0.0, 0.0)
-    assert store.time_at(0.0) is None
-    assert store.wall_ahead_s() is None
+    store_clock = StoreClock(manual_clock)
+    store_clock.record_store_time(0.0, 0.0)
+    assert store_clock.time_at(0.0) is None
+    assert store_clock.wall_ahead_s() is None
 
 
-def test_the_answer_with_the_shortest_round_trip_is_used(manual_clock, store):
+def test_the_answer_with_the_shortest_round_trip_is_used(manual_clock, store_clock):
     sent_at = manual_clock.monotonic()
     manual_clock.advance(0.8)
-    store.record_store_time(sent_at, sent_at + STORE_AHEAD_S)
-    assert store.time_at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
+    store_clock.record_store_time(sent_at, sent_at + STORE_AHEAD_S)
+    assert store_clock.time_at(0.0) == pytest.approx(STORE_AHEAD_S, abs=0.001)
 
 
 def test_a_host_without_a_store_answer_uses_its_own_clock(manual_clock):
@@ -62,31 +62,37 @@
     hosts = [
         ManualClock(wall=START_WALL_S + rng.uniform(-0.01, 0.01)) for _ in range(19)
     ]
-    stores = [StoreClock(each) for each in hosts]
-    for clock, store in zip(hosts, stores, strict=True):
-        record_answer_after(clock, store, rng.uniform(0.002, 0.02))
+    store_clocks = [StoreClock(each) for each in hosts]
+    for clock, store_clock in zip(hosts, store_clocks, strict=True):
+        record_answer_after(clock, store_clock, rng.uniform(0.002, 0.02))
     for clock in rng.sample(hosts, 9):
         clock._wall += error_s
-    ahead = [store.wall_ahead_s() for store in stores]
-    for clock, store in zip(hosts, stores, strict=True):
-        time = FleetTime(store, lambda: ahead, clock)
+    ahead = [store_clock.wall_ahead_s() for store_clock in store_clocks]
+    for clock, store_clock in zip(hosts, store_clocks, strict=True):
+        time = FleetTime(store_clock, lambda: ahead, clock)
         moment = clock.monotonic()
         expected = true_clock.wall() + moment
         assert time.now() == pytest.approx(expected, abs=0.03)
 
 
-def test_a_published_clock_offset_changes_only_on_real_change(manual_clock, store):
-    first = store.wall_ahead_s()
+def test_a_published_clock_offset_changes_only_on_real_change(
+    manual_clock, store_clock
+):
+    first = store_clock.wall_ahead_s()
     for step in range(20):
-        record_answer_after(manual_clock, store, 0.002 + step * 0.0001)
-        assert store.wall_ahead_s() == first
+        record_answer_after(manual_clock, store_clock, 0.002 + step * 0.0001)
+        assert store_clock.wall_ahead_s() == first
     manual_clock._wall += 0.02
-    assert store.wall_ahead_s() == pytest.approx(first + 0.02, abs=0.005)
+    assert store_clock.wall_ahead_s() == pytest.approx(first + 0.02, abs=0.005)
 
 
-def test_one_clock_that_jumps_does_not_change_the_agreed_time(manual_clock, store):
-    ahead = [store.wall_ahead_s()] * 3
-    time = FleetTime(store, lambda: [*ahead[:2], store.wall_ahead_s()], manual_clock)
+def test_one_clock_that_jumps_does_not_change_the_agreed_time(
+    manual_clock, store_clock
+):
+    ahead = [store_clock.wall_ahead_s()] * 3
+    time = FleetTime(
+        store_clock, lambda: [*ahead[:2], store_clock.wall_ahead_s()], manual_clock
+    )
     before = time.now()
     manual_clock._wall += 6.0
     assert time.now() == pytest.approx(before, abs=0.001)
