--- a/src/bankrudder/node/__init__.py
+++ b/src/bankrudder/node/__init__.py
@@ -1,10 +1,11 @@
 """One host of the system on the platform."""
 
-from bankrudder.node._adapter import Adapter, CallerListening, Listener
+from bankrudder.node._adapter import Adapter, Listener, RequestListener
 from bankrudder.node._documents import Documents, UnreadableDocumentError
 from bankrudder.node._gateway import Gateway
 from bankrudder.node._main import run_daemon
 from bankrudder.node._node import Node
+from bankrudder.node._platform_state import PlatformState
 from bankrudder.node._settings import (
     DutySettings,
     FeedSettings,
@@ -15,11 +16,9 @@
     load_settings,
     parse_settings,
 )
-from bankrudder.node._world_view import WorldView
 
 __all__ = [
     "Adapter",
-    "CallerListening",
     "Documents",
     "DutySettings",
     "FeedSettings",
@@ -27,11 +26,12 @@
     "Listener",
     "Node",
     "NodeSettings",
+    "PlatformState",
+    "RequestListener",
     "RpcSettings",
     "StoreSettings",
     "UnreadableDocumentError",
     "UsageSettings",
-    "WorldView",
     "load_settings",
     "parse_settings",
     "run_daemon",
--- a/src/bankrudder/node/_adapter.py
+++ b/src/bankrudder/node/_adapter.py
@@ -23,7 +23,7 @@
         ...
 
 
-class CallerListening(Listener, Protocol):
+class RequestListener(Listener, Protocol):
     """The listener for callers."""
 
     @property
@@ -57,7 +57,7 @@
 
     def caller_listener(
         self, settings: NodeSettings, gateway: Gateway, clock: Clock
-    ) -> CallerListening:
+    ) -> RequestListener:
         """Make the listener for callers."""
         ...
 
--- a/src/bankrudder/node/_parts.py
+++ b/src/bankrudder/node/_components.py
@@ -28,16 +28,16 @@
 from bankrudder.leases import repeat_on_duty
 from bankrudder.logs import LineLimit
 from bankrudder.node._adapter import Adapter
-from bankrudder.node._feeds import RowMeanings
+from bankrudder.node._feeds import FeedRowFilter
 from bankrudder.node._gateway import Gateway
 from bankrudder.node._instruments import Instruments
-from bankrudder.node._latest_keys import LatestKeys
+from bankrudder.node._key_refresher import KeyRefresher
 from bankrudder.node._leases import HostLeases
-from bankrudder.node._reach import is_cut_off
+from bankrudder.node._platform_state import PlatformState
 from bankrudder.node._settings import FeedSettings, NodeSettings
-from bankrudder.node._supply import SUPPLY_LEASE, SupplyParts
-from bankrudder.node._usage import USAGE_LEASE, UsageParts
-from bankrudder.node._world_view import WorldView
+from bankrudder.node._store_reachability import is_store_unreachable
+from bankrudder.node._supply import SUPPLY_LEASE, SupplyComponents
+from bankrudder.node._usage import USAGE_LEASE, UsageComponents
 from bankrudder.observe import Tracer
 from bankrudder.orders import (
     LOADED_TABLE,
@@ -68,10 +68,10 @@
 
 ORDERS_LEASE = "orders"
 
-Work = Callable[[], Awaitable[None]]
+AsyncFunction = Callable[[], Awaitable[None]]
 
 
-class Parts:
+class NodeComponents:
     """All parts of one node; none of them runs yet."""
 
     def __init__(
@@ -79,25 +79,27 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        line_limit: LineLimit,
     ):
         self._settings = settings
         self._clock = clock
         self._endpoints = adapter.endpoints
         self._documents = adapter.documents
         self.lifetime = Lifetime(str(uuid_utils.uuid4()))
-        self.instruments = Instruments.from_config(settings.host, lines)
+        self.instruments = Instruments.from_config(settings.host, line_limit)
         self.tracer = Tracer.from_config(settings.host, settings.traces, clock)
-        measured = MeasuredStore(adapter.store, clock, self.instruments.note_store_call)
+        measured = MeasuredStore(
+            adapter.store, clock, self.instruments.observe_store_call
+        )
         self._feed_cache = FeedCache(clock)
         self.pace = ReadPace(
-            self._host_count, settings.store.reads_per_s, self._are_reads_few
+            self._host_count, settings.store.reads_per_s, self._is_feed_in_use
         )
         probe_pause_s = self._probe_pace().pause(PROBE_SHARE, PROBE_PAUSE_S)
         self._recovering = RecoveringStore(measured, clock, probe_pause_s)
         self.store = RelayedStore(self._recovering, self._feed_cache)
         self.directory = EndpointDirectory(settings.data_centre, clock)
-        self.view = WorldView(
+        self.platform_state = PlatformState(
             self.store, adapter.documents, self.directory, clock, self.pace
         )
         self._store_clock = StoreClock(clock)
@@ -132,22 +134,24 @@
         self._host_cleaner = HostCleaner(self.store, self.presence)
         self.gateway = self._make_gateway()
 
-    def on_duty(self, duty: str, pause_s: float, work: Work) -> Work:
+    def while_lease_held(
+        self, duty: str, pause_s: float, function: AsyncFunction
+    ) -> AsyncFunction:
         """Return work that is done after each pause while this host holds the lease."""
 
         async def repeat() -> None:
-            await repeat_on_duty(duty, lambda: self.lease.is_valid, pause_s, work)
+            await repeat_on_duty(duty, lambda: self.lease.is_valid, pause_s, function)
 
         return repeat
 
-    def platform_duties(self) -> dict[str, Work]:
+    def platform_duties(self) -> dict[str, AsyncFunction]:
         """Return what runs all the time for the duties towards the platform."""
-        works: dict[str, Work] = {}
+        background_tasks: dict[str, AsyncFunction] = {}
         if self.usage is not None:
-            works |= self.usage.works()
+            background_tasks |= self.usage.background_tasks()
         if self.supply is not None:
-            works |= self.supply.works()
-        return works
+            background_tasks |= self.supply.background_tasks()
+        return background_tasks
 
     async def share_paces(self) -> None:
         """Tell how quick the engines are, and learn it while giving orders."""
@@ -158,7 +162,7 @@
             if self.lease.is_valid:
                 await self._paces.read_all()
 
-    def cleaning(self) -> dict[str, Work]:
+    def cleaning_tasks(self) -> dict[str, AsyncFunction]:
         """Return what removes old rows, by what it removes."""
         cleaners = {
             "batches": (batches.CLEANING_PAUSE_S, self._batch_cleaner.clean),
@@ -166,17 +170,20 @@
             "crashes": (crashes.CLEANING_PAUSE_S, self.crashes.clean),
         }
         return {
-            name: self.on_duty(f"cleaning of {name}", pause_s, clean)
+            name: self.while_lease_held(f"cleaning of {name}", pause_s, clean)
             for name, (pause_s, clean) in cleaners.items()
         }
 
     def make_election(self, feeds: FeedSettings) -> ReaderElection:
         """Make what decides whether this host reads the store for others."""
-        meanings = RowMeanings(self._documents)
+        row_filter = FeedRowFilter(self._documents)
 
         def make_publisher(send: Callable[[FeedMessage], None]) -> FeedPublisher:
             return FeedPublisher(
-                send, meanings.meaning_of, meanings.heartbeats_matter, self._clock
+                send,
+                row_filter.significant_content,
+                row_filter.relays_touches,
+                self._clock,
             )
 
         return ReaderElection(
@@ -195,19 +202,19 @@
             self._endpoints,
             self.directory,
             self._clock,
-            lambda: self.view.list_current_for_s(),
+            lambda: self.platform_state.endpoints_current_for_s(),
             self.pace,
         )
 
     def _make_presence(self) -> Presence:
         settings = self._settings
-        room = settings.processor_share * settings.processor_speed
+        capacity = settings.processor_share * settings.processor_speed
         return Presence(
             self.store,
             settings.host,
             self.lifetime,
             self._clock,
-            room,
+            capacity,
             settings.data_centre,
             settings.rpc.address if settings.rpc is not None else NO_ADDRESS,
             settings.feeds.address if settings.feeds is not None else NO_ADDRESS,
@@ -223,12 +230,12 @@
         ahead_s = self._store_clock.wall_ahead_s()
         return None if ahead_s is None else round(ahead_s, 4)
 
-    def _make_usage(self, api: DutyApi | None) -> UsageParts | None:
+    def _make_usage(self, api: DutyApi | None) -> UsageComponents | None:
         duties = self._settings.duties
         if api is None or duties is None or duties.usage is None:
             return None
         time = TrueTime(self._store_clock, self.presence.seen.wall_ahead, self._clock)
-        return UsageParts(
+        return UsageComponents(
             self._settings,
             duties,
             duties.usage,
@@ -241,11 +248,11 @@
             self._clock,
         )
 
-    def _make_supply(self, api: DutyApi | None) -> SupplyParts | None:
+    def _make_supply(self, api: DutyApi | None) -> SupplyComponents | None:
         duties = self._settings.duties
         if api is None or duties is None or not duties.orders_endpoints:
             return None
-        return SupplyParts(
+        return SupplyComponents(
             self._settings,
             duties,
             api,
@@ -284,7 +291,7 @@
 
     def _make_switcher(self) -> VersionSwitcher:
         planner = LoadPlanner(
-            self.view.named_versions,
+            self.platform_state.named_versions,
             self.batches.owners,
             lambda: self._paces.usual_gaps,
             self._clock,
@@ -303,7 +310,7 @@
     def _make_gateway(self) -> Gateway:
         return Gateway(
             self._routes,
-            self._is_of_use,
+            self._can_serve_requests,
             self.forwarder,
             self.streams,
             self.batches,
@@ -311,19 +318,21 @@
             self.repository,
             self.instruments,
             # Every host looks for itself, also where one reads for the others.
-            LatestKeys.from_config(
-                self.view.refresh_configuration, self._probe_pace(), self._clock
+            KeyRefresher.from_config(
+                self.platform_state.refresh_configuration,
+                self._probe_pace(),
+                self._clock,
             ),
             self.tracer,
             self._clock,
         )
 
-    def _is_of_use(self) -> bool:
+    def _can_serve_requests(self) -> bool:
         """Whether requests that arrive here can be served."""
         return (
-            self.view.is_complete
+            self.platform_state.is_complete
             and self.presence.is_announced
-            and not is_cut_off(self._recovering.fails_since, self._clock)
+            and not is_store_unreachable(self._recovering.fails_since, self._clock)
         )
 
     def _probe_pace(self) -> ReadPace:
@@ -333,9 +342,9 @@
     def _host_count(self) -> int:
         return self.presence.host_count()
 
-    def _are_reads_few(self) -> bool:
+    def _is_feed_in_use(self) -> bool:
         """Whether one host of each data centre reads for all."""
         return self.store.role is not FeedRole.DIRECT
 
     def _routes(self) -> RoutingTable | None:
-        return self.view.routes
+        return self.platform_state.routes
--- a/src/bankrudder/node/_feeds.py
+++ b/src/bankrudder/node/_feeds.py
@@ -7,13 +7,13 @@
 from bankrudder.store import Row
 
 
-class RowMeanings:
+class FeedRowFilter:
     """Tells what a row means without what changes with each heartbeat."""
 
     def __init__(self, documents: Documents):
         self._documents = documents
 
-    def meaning_of(self, row: Row) -> bytes:
+    def significant_content(self, row: Row) -> bytes:
         """Return what is the same for two rows that mean the same."""
         try:
             if row.key.table == self._documents.endpoints_table:
@@ -26,6 +26,6 @@
             return row.value  # whoever follows the table says what is wrong
         return row.value
 
-    def heartbeats_matter(self, table: str) -> bool:
+    def relays_touches(self, table: str) -> bool:
         """Whether it must be known that a row was written again."""
         return table == HOSTS_TABLE
--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -14,7 +14,7 @@
     ResultPage,
 )
 from bankrudder.node._instruments import Instruments
-from bankrudder.node._latest_keys import LatestKeys
+from bankrudder.node._key_refresher import KeyRefresher
 from bankrudder.observe import Span, Tracer
 from bankrudder.relay import (
     Forwarder,
@@ -61,12 +61,12 @@
         reader: BatchReader,
         repository: BatchRepository,
         instruments: Instruments,
-        latest_keys: LatestKeys,
+        key_refresher: KeyRefresher,
         tracer: Tracer,
         clock: Clock,
     ):
         self._tracer = tracer
-        self._latest_keys = latest_keys
+        self._key_refresher = key_refresher
         self._routes = routes
         self._is_ready = is_ready
         self._forwarder = forwarder
@@ -111,7 +111,7 @@
         """Return whose request it is, or why it may not run."""
         decision = self._decide(key, is_public)
         if decision == Denial(Refusal.UNKNOWN_KEY):
-            if not await self._latest_keys.look():
+            if not await self._key_refresher.wait_for_refresh():
                 return NotRun(RejectReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_S)
             decision = self._decide(key, is_public)
         if isinstance(decision, Denial):
@@ -141,7 +141,7 @@
             traced = msgspec.structs.replace(request, trace=span.traceparent)
             reply = await self._forwarder.forward(traced, route)
             span.set(outcome=type(reply).__name__)
-        self._note(request, route, reply)
+        self._record_reply(request, route, reply)
         return reply
 
     async def stream(
@@ -152,7 +152,7 @@
         with self._span("gateway.stream", request, route) as span:
             reply = await self._streams.forward(request, route, service)
             span.set(outcome=type(reply).__name__)
-        self._note(request, route, reply)
+        self._record_reply(request, route, reply)
         return reply
 
     def _span(self, name: str, request: IncomingRequest, route: Route) -> Span:
@@ -167,7 +167,7 @@
     async def accept(self, batch: Batch) -> Reply | None:
         """Keep a batch; None means that it is kept."""
         try:
-            is_same = await self._batches.accept(batch)
+            is_accepted = await self._batches.accept(batch)
         except StoreUnavailableError as error:
             _log.warning(
                 "gateway: batch not accepted",
@@ -179,59 +179,67 @@
             _log.warning("gateway: batch perhaps accepted", batch=batch.id)
             return Unanswered(RejectReason.STORE_UNAVAILABLE, False)
         # The name is taken: what was sent now is not kept and never will be.
-        return None if is_same else Malformed("id: another batch has this name")
+        return None if is_accepted else Malformed("id: another batch has this name")
 
-    def _note(
+    def _record_reply(
         self, request: IncomingRequest, route: Route, reply: Reply | StreamStarted
     ) -> None:
         seconds = self._clock.monotonic() - request.received_at
-        self._instruments.note_request(route.kind, reply, seconds)
+        self._instruments.observe_request(route.kind, reply, seconds)
 
     async def results(
-        self, batch_id: BatchId, after: int, wait_s: float, asker: WorkspaceName
+        self,
+        batch_id: BatchId,
+        after: int,
+        wait_s: float,
+        caller_workspace: WorkspaceName,
     ) -> ResultPage | NotRun | NotFound:
         """Return results of a batch of a workspace from a position on."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             page = await self._reader.results(batch_id, after, wait_s)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         return page if page is not None else NotFound(RejectReason.NO_ROUTE)
 
     async def sample_body(
-        self, batch_id: BatchId, sample_id: SampleId, asker: WorkspaceName
+        self, batch_id: BatchId, sample_id: SampleId, caller_workspace: WorkspaceName
     ) -> bytes | NotRun | NotFound:
         """Return the body of a sample of a workspace."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             sample = await self._reader.sample(batch_id, sample_id)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         return sample.body if sample is not None else NotFound(RejectReason.NO_ROUTE)
 
-    async def end(self, batch_id: BatchId, asker: WorkspaceName) -> Reply | None:
+    async def end(
+        self, batch_id: BatchId, caller_workspace: WorkspaceName
+    ) -> Reply | None:
         """End a batch of a workspace; None means that it is ended."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             is_known = await self._repository.end(batch_id)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         except NotSettledError:
             return Unanswered(RejectReason.STORE_UNAVAILABLE, False)
         return None if is_known else NotFound(RejectReason.NO_ROUTE)
 
-    async def _may_see(self, batch_id: BatchId, asker: WorkspaceName) -> bool:
+    async def _is_visible(
+        self, batch_id: BatchId, caller_workspace: WorkspaceName
+    ) -> bool:
         """Whether there is such a batch for callers of a workspace."""
         owner = await self._reader.workspace_of(batch_id)
         if owner is None:
             return False
-        return not self.has_workspaces or owner in (NO_WORKSPACE, asker)
+        return not self.has_workspaces or owner in (NO_WORKSPACE, caller_workspace)
 
 
-def _not_known(batch_id: BatchId, error: StoreUnavailableError) -> NotRun:
+def _store_unavailable(batch_id: BatchId, error: StoreUnavailableError) -> NotRun:
     _log.warning(
         "gateway: cannot tell of a batch", batch=batch_id, reason=error.trouble.value
     )
--- a/src/bankrudder/node/_instruments.py
+++ b/src/bankrudder/node/_instruments.py
@@ -21,9 +21,9 @@
 class Instruments:
     """What a node measures itself; levels are gathered by sources of their own."""
 
-    def __init__(self, metrics: Metrics, lines: LineLimit):
+    def __init__(self, metrics: Metrics, line_limit: LineLimit):
         self._metrics = metrics
-        self._lines = lines
+        self._line_limit = line_limit
         self._requests = metrics.histogram(
             "bankrudder_request_seconds",
             "Time from the reading of a request to its reply, in seconds.",
@@ -32,33 +32,33 @@
             "bankrudder_store_call_seconds",
             "Time of a call to the store, in seconds.",
         )
-        metrics.add_source(self._line_samples)
+        metrics.add_source(self._decision_samples)
 
     @classmethod
-    def from_config(cls, host: HostId, lines: LineLimit) -> "Instruments":
+    def from_config(cls, host: HostId, line_limit: LineLimit) -> "Instruments":
         """Make the instruments of the node on `host`."""
-        return cls(Metrics.from_config(host), lines)
+        return cls(Metrics.from_config(host), line_limit)
 
     @property
     def metrics(self) -> Metrics:
         """All metrics of the node."""
         return self._metrics
 
-    def note_request(
+    def observe_request(
         self, kind: RouteKind, reply: Reply | StreamStarted, seconds: float
     ) -> None:
         """Count a request and its time."""
         outcome, reason = _outcome(reply)
         self._requests.observe(seconds, kind=kind.value, outcome=outcome, reason=reason)
 
-    def note_store_call(self, call: str, outcome: str, seconds: float) -> None:
+    def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
         """Count a call to the store and its time."""
         self._store_calls.observe(seconds, call=call, outcome=outcome)
 
-    def _line_samples(self) -> Iterable[Sample]:
+    def _decision_samples(self) -> Iterable[Sample]:
         # Each decision writes a line, so the counts of lines are those of decisions,
         # also of the lines that were left out.
-        for (event, level), count in self._lines.totals.items():
+        for (event, level), count in self._line_limit.totals.items():
             yield Sample.counter(
                 "bankrudder_decisions_total",
                 count,
--- a/src/bankrudder/node/_leases.py
+++ b/src/bankrudder/node/_leases.py
@@ -26,7 +26,7 @@
         self._lifetime = lifetime
         self._presence = presence
         self._clock = clock
-        self._made: list[Lease] = []
+        self._leases: list[Lease] = []
 
     def make(
         self, name: str, on_change: Callable[[bool], None] = lambda _: None
@@ -48,14 +48,14 @@
             on_change,
             self._settings.callers_address,
         )
-        self._made.append(lease)
+        self._leases.append(lease)
         return lease
 
     async def release(self) -> None:
         """Give up all duties before a planned stop."""
-        await asyncio.gather(*(lease.release() for lease in self._made))
+        await asyncio.gather(*(lease.release() for lease in self._leases))
 
     def set_duration(self, seconds: float) -> None:
         """Change the length of all leases from their next renewal on."""
-        for lease in self._made:
+        for lease in self._leases:
             lease.set_duration(seconds)
--- a/src/bankrudder/node/_main.py
+++ b/src/bankrudder/node/_main.py
@@ -25,7 +25,7 @@
 from bankrudder.world import Clock, SystemClock
 
 EXIT_NOT_STARTED = 1
-EXIT_WRONG_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 SETTINGS_VARIABLE = "BANKRUDDER_SETTINGS"
 
@@ -44,9 +44,9 @@
     """
     arguments = _parser().parse_args(argv)
     clock = SystemClock()
-    lines = LineLimit(clock)
+    line_limit = LineLimit(clock)
     sink = NonBlockingSink(sys.stdout.fileno())
-    configure_logging(LogFormat.JSON, LogLevel.INFO, stream=sink, limit=lines)
+    configure_logging(LogFormat.JSON, LogLevel.INFO, stream=sink, limit=line_limit)
     path = Path(arguments.settings)
     try:
         settings = load_settings(path)
@@ -54,15 +54,15 @@
             LogFormat.JSON,
             settings.log_level,
             stream=sink,
-            limit=lines,
+            limit=line_limit,
             host=settings.host,
         )
     except InvalidError as error:
         failure = error.failure
         _log.error("node: wrong settings", field=failure.field, reason=failure.detail)
-        sys.exit(EXIT_WRONG_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     try:
-        uvloop.run(_run(settings, path, make_adapter, clock, lines))
+        uvloop.run(_run(settings, path, make_adapter, clock, line_limit))
     except OSError as error:
         _log.error("node: not started", reason=str(error))
         sys.exit(EXIT_NOT_STARTED)
@@ -87,12 +87,12 @@
     path: Path,
     make_adapter: Callable[[NodeSettings], Adapter],
     clock: Clock,
-    lines: LineLimit,
+    line_limit: LineLimit,
 ) -> None:
-    node = Node.from_config(settings, make_adapter(settings), clock, lines)
+    node = Node.from_config(settings, make_adapter(settings), clock, line_limit)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, node.stop)
     loop.add_signal_handler(signal.SIGHUP, _reload, node, path)
     await node.run()
 
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -10,29 +10,29 @@
 from bankrudder.feeds import FeedRole
 from bankrudder.logs import LineLimit
 from bankrudder.node._adapter import Adapter
-from bankrudder.node._parts import Parts
+from bankrudder.node._components import NodeComponents
 from bankrudder.node._settings import NodeSettings
 from bankrudder.observe import ObserveServer, Sample
 from bankrudder.world import Clock
 
 if TYPE_CHECKING:
-    from bankrudder.node._interface import OwnInterface
+    from bankrudder.node._rpc_interface import RpcInterface
 
-NOTICE_S = 2.6
+MIN_DRAIN_S = 2.6
 """Time for which new connections are still answered after the request to stop: the
 balancer asks once a second and leaves a host out after two questions."""
 
-BATCHES_SHARE = 0.55
+BATCHES_GRACE_SHARE = 0.55
 """Share of the grace time in which batches may still end here before they are handed
 over: most end sooner, and a handover takes well under a second."""
 
-STOP_MARGIN_S = 1.0
+CLOSE_MARGIN_S = 1.0
 """Time that is kept at the end of the grace time for closing connections."""
 
-RELEASE_PAUSE_S = 0.2
+HANDOVER_RETRY_PAUSE_S = 0.2
 """Pause before another try to hand batches over while the store does not take it."""
 
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 _log = structlog.get_logger("node")
 
@@ -45,18 +45,20 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        line_limit: LineLimit,
     ):
         self._settings = settings
         self._adapter = adapter
         self._clock = clock
-        self._parts = Parts(settings, adapter, clock, lines)
-        self._parts.instruments.metrics.add_source(self._samples)
+        self._components = NodeComponents(settings, adapter, clock, line_limit)
+        self._components.instruments.metrics.add_source(self._gauge_samples)
         self._metrics_server = self._make_metrics_server()
-        self._interface = self._make_interface()
-        self._callers = adapter.caller_listener(settings, self._parts.gateway, clock)
-        self._readiness = adapter.readiness_listener(settings, self._parts.gateway)
-        self._stop_asked = asyncio.Event()
+        self._rpc_interface = self._make_rpc_interface()
+        self._callers = adapter.caller_listener(
+            settings, self._components.gateway, clock
+        )
+        self._readiness = adapter.readiness_listener(settings, self._components.gateway)
+        self._stop_requested = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     @classmethod
@@ -65,10 +67,10 @@
         settings: NodeSettings,
         adapter: Adapter,
         clock: Clock,
-        lines: LineLimit,
+        line_limit: LineLimit,
     ) -> Self:
         """Make a node that `run` starts."""
-        return cls(settings, adapter, clock, lines)
+        return cls(settings, adapter, clock, line_limit)
 
     def reload(self, settings: NodeSettings) -> None:
         """Take the settings that may change while the node runs.
@@ -84,11 +86,11 @@
         self._settings = msgspec.structs.replace(
             self._settings, grace_s=settings.grace_s, lease_ms=settings.lease_ms
         )
-        self._parts.leases.set_duration(settings.lease_ms / 1000)
+        self._components.leases.set_duration(settings.lease_ms / 1000)
 
     def stop(self) -> None:
         """Begin a planned stop."""
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     async def run(self) -> None:
         """Serve until a planned stop is through.
@@ -102,28 +104,30 @@
         await self._callers.start()
         if self._metrics_server is not None:
             await self._metrics_server.start()
-        if self._interface is not None:
-            await self._interface.start()
+        if self._rpc_interface is not None:
+            await self._rpc_interface.start()
         _log.info(
-            "node: started", host=self._settings.host, lifetime=self._parts.lifetime
+            "node: started",
+            host=self._settings.host,
+            lifetime=self._components.lifetime,
         )
-        self._start("view", self._parts.view.run)
-        self._start("presence", self._parts.presence.run)
-        self._start("batches", self._parts.batches.run)
-        self._start("crashes", self._parts.crashes.run)
-        self._start("lease", self._parts.lease.run)
-        self._start("orders", self._parts.switcher.run)
-        self._start("paces", self._parts.share_paces)
-        for name, work in self._parts.platform_duties().items():
-            self._start(name, work)
-        for name, clean in self._parts.cleaning().items():
-            self._start(f"cleaning {name}", clean)
+        self._start_task("view", self._components.platform_state.run)
+        self._start_task("presence", self._components.presence.run)
+        self._start_task("batches", self._components.batches.run)
+        self._start_task("crashes", self._components.crashes.run)
+        self._start_task("lease", self._components.lease.run)
+        self._start_task("orders", self._components.switcher.run)
+        self._start_task("paces", self._components.share_paces)
+        for name, function in self._components.platform_duties().items():
+            self._start_task(name, function)
+        for name, clean in self._components.cleaning_tasks().items():
+            self._start_task(f"cleaning {name}", clean)
         if self._settings.feeds is not None:
-            election = self._parts.make_election(self._settings.feeds)
-            self._start("feeds", election.run)
-        if self._interface is not None:
-            self._start("interface", self._interface.run)
-        await self._stop_asked.wait()
+            election = self._components.make_election(self._settings.feeds)
+            self._start_task("feeds", election.run)
+        if self._rpc_interface is not None:
+            self._start_task("interface", self._rpc_interface.run)
+        await self._stop_requested.wait()
         await self._drain()
 
     def _make_metrics_server(self) -> ObserveServer | None:
@@ -131,108 +135,123 @@
             return None
         return ObserveServer.from_config(
             self._settings.metrics_address,
-            self._parts.instruments.metrics,
-            lambda: self._parts.gateway.is_ready,
-            spans_of=self._parts.tracer.spans_of,
+            self._components.instruments.metrics,
+            lambda: self._components.gateway.is_ready,
+            spans_of=self._components.tracer.spans_of,
         )
 
-    def _make_interface(self) -> "OwnInterface | None":
+    def _make_rpc_interface(self) -> "RpcInterface | None":
         rpc = self._settings.rpc
         if rpc is None:
             return None
-        from bankrudder.node._interface import OwnInterface
+        from bankrudder.node._rpc_interface import RpcInterface
 
-        return OwnInterface(self._settings, rpc, self._parts, self._clock, self.stop)
+        return RpcInterface(
+            self._settings, rpc, self._components, self._clock, self.stop
+        )
 
-    def _samples(self) -> Iterable[Sample]:
+    def _gauge_samples(self) -> Iterable[Sample]:
         """Yield what the node holds now, for its metrics."""
-        routes = self._parts.view.routes
-        levels = {
-            "bankrudder_batches_in_work": self._parts.batches.running_batch_count,
-            "bankrudder_samples_waiting": self._parts.batches.waiting_sample_count,
-            "bankrudder_endpoints_listed": len(self._parts.directory),
-            "bankrudder_endpoints_unreadable": self._parts.directory.unreadable_count,
-            "bankrudder_crashing_contents": len(self._parts.crashes),
-            "bankrudder_crashing_contents_refused": self._parts.crashes.refused_count,
+        routes = self._components.platform_state.routes
+        gauges = {
+            "bankrudder_batches_in_work": self._components.batches.running_batch_count,
+            "bankrudder_samples_waiting": (
+                self._components.batches.waiting_sample_count
+            ),
+            "bankrudder_endpoints_listed": len(self._components.directory),
+            "bankrudder_endpoints_unreadable": (
+                self._components.directory.unreadable_count
+            ),
+            "bankrudder_crashing_contents": len(self._components.crashes),
+            "bankrudder_crashing_contents_refused": (
+                self._components.crashes.refused_count
+            ),
             "bankrudder_requests_in_progress": self._callers.in_progress,
-            "bankrudder_orders_lease_held": int(self._parts.lease.is_valid),
-            "bankrudder_hosts_alive": len(self._parts.presence.live_hosts()),
-            "bankrudder_ready": int(self._parts.gateway.is_ready),
+            "bankrudder_orders_lease_held": int(self._components.lease.is_valid),
+            "bankrudder_hosts_alive": len(self._components.presence.live_hosts()),
+            "bankrudder_ready": int(self._components.gateway.is_ready),
             "bankrudder_reads_for_others": int(
-                self._parts.store.role is FeedRole.READER
+                self._components.store.role is FeedRole.READER
             ),
             "bankrudder_configuration_revision": (
                 routes.configuration.revision if routes else 0
             ),
         }
-        for name, value in levels.items():
+        for name, value in gauges.items():
             yield Sample.gauge(name, value)
-        for table, age_s in self._parts.view.ages().items():
+        for table, age_s in self._components.platform_state.table_ages_s().items():
             yield Sample.gauge("bankrudder_table_age_seconds", age_s, table=table)
 
-    def _start(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        self._tasks.append(asyncio.ensure_future(self._kept_running(name, work)))
+    def _start_task(self, name: str, function: Callable[[], Awaitable[None]]) -> None:
+        self._tasks.append(
+            asyncio.ensure_future(self._run_with_restarts(name, function))
+        )
 
-    async def _kept_running(
-        self, name: str, work: Callable[[], Awaitable[None]]
+    async def _run_with_restarts(
+        self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
         """Run a part; one that fails is logged and run again."""
         while True:
             try:
-                await work()
+                await function()
             except Exception:
                 _log.exception("node: part failed, starting it again", part=name)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _drain(self) -> None:
-        began = self._clock.monotonic()
+        drain_started_at = self._clock.monotonic()
         grace_s = self._settings.grace_s
         _log.info("node: stop begins", in_progress=self._callers.in_progress)
-        self._parts.gateway.leave()
-        if self._interface is not None:
-            self._interface.leave()
-        self._parts.presence.leave()
+        self._components.gateway.leave()
+        if self._rpc_interface is not None:
+            self._rpc_interface.leave()
+        self._components.presence.leave()
         await asyncio.gather(
-            self._parts.presence.announce(), self._parts.leases.release()
+            self._components.presence.announce(), self._components.leases.release()
         )
-        await self._wait(
-            began + BATCHES_SHARE * grace_s,
-            lambda: self._parts.batches.running_batch_count == 0,
-            began + NOTICE_S,
+        await self._wait_until(
+            drain_started_at + BATCHES_GRACE_SHARE * grace_s,
+            lambda: self._components.batches.running_batch_count == 0,
+            drain_started_at + MIN_DRAIN_S,
         )
-        end = began + grace_s - STOP_MARGIN_S
-        while not await self._parts.batches.hand_over_all():
-            if self._clock.monotonic() >= end:
+        close_deadline = drain_started_at + grace_s - CLOSE_MARGIN_S
+        while not await self._components.batches.hand_over_all():
+            if self._clock.monotonic() >= close_deadline:
                 break
-            await asyncio.sleep(RELEASE_PAUSE_S)
-        await self._wait(
-            end,
+            await asyncio.sleep(HANDOVER_RETRY_PAUSE_S)
+        await self._wait_until(
+            close_deadline,
             lambda: self._in_progress == 0,
-            began + NOTICE_S,
+            drain_started_at + MIN_DRAIN_S,
         )
-        if self._parts.usage is not None:
-            await self._parts.usage.keeper.keep()
+        if self._components.usage is not None:
+            await self._components.usage.keeper.keep()
         for task in self._tasks:
             task.cancel()
         await self._callers.stop()
         await self._readiness.stop()
-        if self._interface is not None:
-            await self._interface.stop()
+        if self._rpc_interface is not None:
+            await self._rpc_interface.stop()
         if self._metrics_server is not None:
             await self._metrics_server.stop()
         await self._adapter.close()
-        await self._parts.tracer.stop()
-        _log.info("node: stopped", seconds=round(self._clock.monotonic() - began, 3))
+        await self._components.tracer.stop()
+        _log.info(
+            "node: stopped",
+            seconds=round(self._clock.monotonic() - drain_started_at, 3),
+        )
 
     @property
     def _in_progress(self) -> int:
-        own = self._interface.in_progress if self._interface is not None else 0
-        return self._callers.in_progress + own
+        rpc_in_progress = (
+            self._rpc_interface.in_progress if self._rpc_interface is not None else 0
+        )
+        return self._callers.in_progress + rpc_in_progress
 
-    async def _wait(
-        self, until: float, is_done: Callable[[], bool], not_before: float
+    async def _wait_until(
+        self, deadline: float, is_done: Callable[[], bool], not_before: float
     ) -> None:
-        while (now := self._clock.monotonic()) < until:
+        while (now := self._clock.monotonic()) < deadline:
             if is_done() and now >= not_before:
                 return
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/bankrudder/node/_world_view.py
+++ b/src/bankrudder/node/_platform_state.py
@@ -16,21 +16,21 @@
 from bankrudder.store import ReadPace, Row, RowKey, Store, TableFollower
 from bankrudder.world import Clock, ModelVersion
 
-ENDPOINTS_PAUSE_S = 0.25
+MIN_ENDPOINTS_PAUSE_S = 0.25
 """Shortest pause between reads of the endpoints' list, whose heartbeats come many times
 a second: a delay of an eighth of the time in which a draining endpoint must be left."""
 
-ENDPOINTS_SHARE = 0.4
+ENDPOINTS_READS_SHARE = 0.4
 """Share of the reads of the store that the endpoints' list may take: the largest, as it
 has to be read the most often."""
 
-CONFIGURATION_SHARE = 0.2
-CONFIGURATION_WAIT_S = 0.8
+CONFIGURATION_READS_SHARE = 0.2
+MIN_CONFIGURATION_WAIT_S = 0.8
 """The same for the configuration, and the shortest time for which its reads may be
 held: together with the time in which a connection that fell silent is noticed it stays
 under the two seconds in which a configuration must be in force."""
 
-OVERDUE_LOOK_S = 0.2
+EXPIRY_CHECK_INTERVAL_S = 0.2
 """How often it is looked for endpoints that did not come back in time: a tenth of that
 time."""
 
@@ -40,7 +40,7 @@
 _log = structlog.get_logger("node")
 
 
-class WorldView:
+class PlatformState:
     """Follows the platform's tables."""
 
     def __init__(
@@ -55,15 +55,15 @@
         self._directory = directory
         self._clock = clock
         self._routes: RoutingTable | None = None
-        self._more_routes: tuple[Route, ...] = ()
-        self._named: dict[ModelName, ModelVersion] = {}
+        self._job_routes: tuple[Route, ...] = ()
+        self._named_versions: dict[ModelName, ModelVersion] = {}
         self._configuration = TableFollower(
             store,
             documents.configuration_table,
             clock,
             on_row=self._on_document,
             on_removed=self._on_document_removed,
-            wait_s=pace.pause(CONFIGURATION_SHARE, CONFIGURATION_WAIT_S),
+            wait_s=pace.pause(CONFIGURATION_READS_SHARE, MIN_CONFIGURATION_WAIT_S),
         )
         self._endpoints = TableFollower(
             store,
@@ -71,7 +71,7 @@
             clock,
             on_row=self._on_endpoint,
             on_removed=self._on_endpoint_removed,
-            pause_s=pace.pause(ENDPOINTS_SHARE, ENDPOINTS_PAUSE_S),
+            pause_s=pace.pause(ENDPOINTS_READS_SHARE, MIN_ENDPOINTS_PAUSE_S),
         )
 
     @property
@@ -82,26 +82,26 @@
     @property
     def named_versions(self) -> Mapping[ModelName, ModelVersion]:
         """Newest version that was named, by model."""
-        return self._named
+        return self._named_versions
 
     @property
     def is_complete(self) -> bool:
         """Whether configuration and endpoints are known."""
         return self._routes is not None and self._endpoints.is_loaded
 
-    def list_current_for_s(self) -> float:
+    def endpoints_current_for_s(self) -> float:
         """Return the seconds for which reads of the endpoints' list have not failed."""
         return self._endpoints.current_for_s()
 
-    def set_more_routes(self, routes: Iterable[Route]) -> None:
+    def set_job_routes(self, routes: Iterable[Route]) -> None:
         """Replace the routes of the project's own configuration."""
-        self._more_routes = tuple(routes)
+        self._job_routes = tuple(routes)
         configuration = NO_CONFIGURATION
         if self._routes is not None:
             configuration = self._routes.configuration
-        self._routes = RoutingTable(configuration, self._more_routes)
+        self._routes = RoutingTable(configuration, self._job_routes)
 
-    def ages(self) -> dict[str, float]:
+    def table_ages_s(self) -> dict[str, float]:
         """Return, by table, the seconds since it was last read."""
         now = self._clock.monotonic()
         followers = {
@@ -131,11 +131,11 @@
         async with asyncio.TaskGroup() as group:
             group.create_task(self._configuration.run())
             group.create_task(self._endpoints.run())
-            group.create_task(self._remove_overdue())
+            group.create_task(self._remove_expired_endpoints())
 
-    async def _remove_overdue(self) -> None:
+    async def _remove_expired_endpoints(self) -> None:
         while True:
-            await asyncio.sleep(OVERDUE_LOOK_S)
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
             if self._endpoints.lost_since is None:
                 self._directory.remove_expired()
 
@@ -143,14 +143,14 @@
         key = row.key.key
         try:
             if key == self._documents.configuration_key:
-                self._take_configuration(self._documents.configuration(row.value))
+                self._apply_configuration(self._documents.configuration(row.value))
             elif key.startswith(self._documents.named_version_prefix):
-                self.take_named(self._documents.named_version(row.value))
+                self.update_named_version(self._documents.named_version(row.value))
         except UnreadableDocumentError as error:
             # What was in force stays so.
             _log.error("node: document not understood", key=key, reason=error.reason)
 
-    def _take_configuration(self, configuration: RoutingConfiguration) -> None:
+    def _apply_configuration(self, configuration: RoutingConfiguration) -> None:
         before = self._routes.configuration.revision if self._routes else 0
         if configuration.revision <= before:
             _log.warning(
@@ -159,7 +159,7 @@
                 in_force=before,
             )
             return
-        self._routes = RoutingTable(configuration, self._more_routes)
+        self._routes = RoutingTable(configuration, self._job_routes)
         _log.info(
             "node: configuration in force",
             revision=configuration.revision,
@@ -167,10 +167,10 @@
             routes=len(configuration.routes),
         )
 
-    def take_named(self, named: ModelState) -> None:
+    def update_named_version(self, named: ModelState) -> None:
         """Take a version that a trainer named or published; versions only grow."""
-        if named.version > self._named.get(named.model, 0):
-            self._named[named.model] = named.version
+        if named.version > self._named_versions.get(named.model, 0):
+            self._named_versions[named.model] = named.version
             _log.info("node: version named", model=named.model, version=named.version)
 
     def _on_document_removed(self, key: RowKey) -> None:
--- a/src/bankrudder/node/_interface.py
+++ b/src/bankrudder/node/_rpc_interface.py
@@ -22,7 +22,7 @@
     PlacementGuard,
     job_routes,
 )
-from bankrudder.node._parts import Parts
+from bankrudder.node._components import NodeComponents
 from bankrudder.node._settings import NodeSettings, RpcSettings
 from bankrudder.rpc import (
     CallsServicer,
@@ -44,11 +44,11 @@
 from bankrudder.v1 import bankrudder_pb2_grpc as pb_grpc
 from bankrudder.world import Clock
 
-STOP_SLACK_S = 0.5
+STOP_GRACE_S = 0.5
 """Time that calls in progress get once everything else has ended."""
 
 
-class OwnInterface:
+class RpcInterface:
     """Listens for callers, trainers and operators.
 
     Parameters
@@ -61,25 +61,25 @@
         self,
         settings: NodeSettings,
         rpc: RpcSettings,
-        parts: Parts,
+        components: NodeComponents,
         clock: Clock,
         drain: Callable[[], None],
     ):
         self._settings = settings
-        self._parts = parts
+        self._components = components
         self._clock = clock
         self._configuration = ConfigurationService(
-            parts.store, parts.presence, clock, self._on_configuration
+            components.store, components.presence, clock, self._on_configuration
         )
         self._placement = PlacementGuard(
-            settings.data_centre, parts.presence.heartbeats
+            settings.data_centre, components.presence.heartbeats
         )
-        self._records = CallRecords(parts.store, clock)
+        self._records = CallRecords(components.store, clock)
         self._cleaner = CallRecordCleaner(
-            self._records, parts.lease, self._longest_window_s, clock
+            self._records, components.lease, self._max_retry_window_s, clock
         )
         self._versions = TableFollower(
-            parts.store,
+            components.store,
             PUBLISHED_VERSIONS_TABLE,
             clock,
             on_row=self._on_version,
@@ -107,7 +107,7 @@
             group.create_task(self._clean())
 
     async def _clean(self) -> None:
-        await self._parts.on_duty(
+        await self._components.while_lease_held(
             "cleaning of calls", CLEANING_PAUSE_S, self._cleaner.clean
         )()
 
@@ -122,57 +122,57 @@
 
     async def stop(self) -> None:
         """Stop listening and end what is left."""
-        await self._server.stop(STOP_SLACK_S)
+        await self._server.stop(STOP_GRACE_S)
 
     def _add_services(self, drain: Callable[[], None]) -> None:
-        parts = self._parts
+        components = self._components
         server = self._server.grpc_server
         calls = CallsServicer.from_config(
             self._context,
-            self._calls(),
-            parts.tracer,
-            parts.instruments.metrics,
+            self._make_call_service(),
+            components.tracer,
+            components.instruments.metrics,
             self._clock,
         )
         pb_grpc.add_CallsServicer_to_server(calls, server)  # type: ignore[no-untyped-call]
         trainers = TrainersServicer(
             self._context,
-            self._steps(),
-            VersionRegistry(parts.store, self._clock),
-            parts.tracer,
+            self._make_step_service(),
+            VersionRegistry(components.store, self._clock),
+            components.tracer,
         )
         pb_grpc.add_TrainersServicer_to_server(trainers, server)  # type: ignore[no-untyped-call]
         board = StatusBoard(
-            parts.presence, parts.directory, self._is_serving, self._clock
+            components.presence, components.directory, self._is_serving, self._clock
         )
         operators = OperatorsServicer(
             self._context,
             board,
-            parts.tracer,
-            UsageRows(parts.store, self._clock),
+            components.tracer,
+            UsageRows(components.store, self._clock),
             drain,
         )
         pb_grpc.add_OperatorsServicer_to_server(operators, server)  # type: ignore[no-untyped-call]
 
-    def _calls(self) -> CallService:
-        parts = self._parts
+    def _make_call_service(self) -> CallService:
+        components = self._components
         return CallService(
             self._configuration,
             self._placement,
-            AdmissionController(parts.directory, self._clock),
-            parts.forwarder,
-            parts.streams,
-            AtMostOnceRunner(self._records, parts.presence, self._clock),
+            AdmissionController(components.directory, self._clock),
+            components.forwarder,
+            components.streams,
+            AtMostOnceRunner(self._records, components.presence, self._clock),
             self._clock,
         )
 
-    def _steps(self) -> StepService:
-        parts = self._parts
-        repository: BatchRepository = parts.repository
+    def _make_step_service(self) -> StepService:
+        components = self._components
+        repository: BatchRepository = components.repository
         return StepService(
             self._configuration,
             self._placement,
-            parts.batches,
+            components.batches,
             BatchReader(repository, self._clock),
             repository,
             lambda: self._context.stopping,
@@ -183,11 +183,13 @@
         return bool(self._configuration.revision) and not self._context.stopping
 
     def _on_configuration(self, index: ConfigurationIndex) -> None:
-        self._parts.view.set_more_routes(job_routes(index))
+        self._components.platform_state.set_job_routes(job_routes(index))
 
     def _on_version(self, row: Row) -> None:
-        self._parts.view.take_named(decode_published_version(row.value))
+        self._components.platform_state.update_named_version(
+            decode_published_version(row.value)
+        )
 
-    def _longest_window_s(self) -> float:
+    def _max_retry_window_s(self) -> float:
         pools = self._configuration.known_index.configuration.pools
         return max((each.contract.retry_window_s for each in pools), default=0.0)
--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -21,11 +21,11 @@
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 
 
-class _Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Base of the parts of the settings."""
 
 
-class StoreSettings(_Part, frozen=True):
+class StoreSettings(_Section, frozen=True):
     """The platform's store.
 
     Attributes
@@ -41,7 +41,7 @@
     reads_per_s: float = 2000.0
 
 
-class FeedSettings(_Part, frozen=True):
+class FeedSettings(_Section, frozen=True):
     """Reading of the store by one host of each data centre for all others.
 
     Attributes
@@ -57,7 +57,7 @@
     min_hosts: int = 100
 
 
-class UsageSettings(_Part, frozen=True):
+class UsageSettings(_Section, frozen=True):
     """Reports of what each workspace used.
 
     Attributes
@@ -72,7 +72,7 @@
     late_s: float
 
 
-class DutySettings(_Part, frozen=True):
+class DutySettings(_Section, frozen=True):
     """The platform's interface for what one host at a time has to tell it.
 
     Attributes
@@ -91,7 +91,7 @@
     orders_endpoints: bool = False
 
 
-class RpcSettings(_Part, frozen=True):
+class RpcSettings(_Section, frozen=True):
     """The project's own interface, over gRPC.
 
     Attributes
@@ -109,7 +109,7 @@
     limits: RpcLimits = RpcLimits()
 
 
-class NodeSettings(_Part, frozen=True):
+class NodeSettings(_Section, frozen=True):
     """All settings of one daemon; ``_ms`` and ``_s`` give the unit of times.
 
     Attributes
@@ -156,7 +156,7 @@
     traces: TraceExport = NoTraceExport()
 
 
-class _WrongValue(msgspec.Struct, frozen=True):
+class _InvalidValue(msgspec.Struct, frozen=True):
     """A field, its value, and what is allowed."""
 
     field: str
@@ -187,34 +187,34 @@
 def parse_settings(body: bytes) -> NodeSettings:
     """Decode and check settings, raising as `load_settings`."""
     settings = decode_document(body, NodeSettings)
-    wrong = next(_wrong_values(settings), None)
-    if wrong is not None:
+    invalid = next(_invalid_values(settings), None)
+    if invalid is not None:
         raise InvalidError(
             FailureReason.CONFIGURATION_WRONG,
-            f"{wrong.field} is {json_excerpt(wrong.value)}: {wrong.problem}",
-            field=wrong.field,
+            f"{invalid.field} is {json_excerpt(invalid.value)}: {invalid.problem}",
+            field=invalid.field,
         )
     return settings
 
 
-def _wrong_values(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _invalid_values(settings: NodeSettings) -> Iterator[_InvalidValue]:
     for field in ("host", "data_centre"):
         if not getattr(settings, field).strip():
-            yield _WrongValue(field, getattr(settings, field), "a name is needed")
-    yield from _wrong_addresses(settings)
-    yield from _not_positive(settings)
+            yield _InvalidValue(field, getattr(settings, field), "a name is needed")
+    yield from _invalid_addresses(settings)
+    yield from _non_positive_values(settings)
     if settings.rpc is not None:
-        yield from _wrong_token(settings.rpc)
+        yield from _invalid_token_digest(settings.rpc)
 
 
-def _wrong_addresses(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _invalid_addresses(settings: NodeSettings) -> Iterator[_InvalidValue]:
     seen: set[Address] = set()
     for field, address in _listeners(settings):
         problem = address_error(address)
         if address in seen:
             problem = "each listener needs an address of its own"
         if problem:
-            yield _WrongValue(field, address, problem)
+            yield _InvalidValue(field, address, problem)
         seen.add(address)
     others = [("store.address", settings.store.address)]
     if settings.duties is not None:
@@ -224,7 +224,7 @@
             others.append(("traces.address", address))
     for field, address in others:
         if problem := address_error(address):
-            yield _WrongValue(field, address, problem)
+            yield _InvalidValue(field, address, problem)
 
 
 def _listeners(settings: NodeSettings) -> Iterator[tuple[str, Address]]:
@@ -238,7 +238,7 @@
         yield "rpc.address", settings.rpc.address
 
 
-def _not_positive(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _non_positive_values(settings: NodeSettings) -> Iterator[_InvalidValue]:
     values = {
         "store.row_bytes": settings.store.row_bytes,
         "store.reads_per_s": settings.store.reads_per_s,
@@ -260,13 +260,13 @@
         values |= {f"rpc.limits.{name}": value for name, value in limits.items()}
     for field, value in values.items():
         if value <= 0:
-            yield _WrongValue(field, value, "allowed is more than 0")
+            yield _InvalidValue(field, value, "allowed is more than 0")
 
 
-def _wrong_token(rpc: RpcSettings) -> Iterator[_WrongValue]:
+def _invalid_token_digest(rpc: RpcSettings) -> Iterator[_InvalidValue]:
     digest = rpc.operator_token_sha256
     if digest and not _SHA256.fullmatch(digest):
-        yield _WrongValue(
+        yield _InvalidValue(
             "rpc.operator_token_sha256",
             digest,
             "allowed are 64 lower-case hexadecimal digits",
--- a/src/bankrudder/node/_reach.py
+++ b/src/bankrudder/node/_store_reachability.py
@@ -19,7 +19,7 @@
 takes to be asked again, and short of the second between two questions."""
 
 
-def is_cut_off(fails_since: float | None, clock: Clock) -> bool:
+def is_store_unreachable(fails_since: float | None, clock: Clock) -> bool:
     """Whether the calls of this host to the store have failed for a while.
 
     Parameters
--- a/src/bankrudder/node/_supply.py
+++ b/src/bankrudder/node/_supply.py
@@ -15,7 +15,7 @@
 SUPPLY_LEASE = "supply"
 
 
-class SupplyParts:
+class SupplyComponents:
     """The duty to order endpoints."""
 
     def __init__(
@@ -32,31 +32,34 @@
         self.lease = lease
         self._routes = routes
         duty = Duty(SUPPLY_LEASE, api, lease, settings.host, duties.calls_per_s, clock)
-        self._keeper = EngineScaler(
+        self._scaler = EngineScaler(
             duty, routes, directory, owners, lambda: lease.fence, clock
         )
 
-    def works(self) -> dict[str, Callable[[], Awaitable[None]]]:
+    def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
         """Return what runs all the time, by its name."""
-        return {"supply lease": self._lease_where_needed, "supply": self._supply}
+        return {
+            "supply lease": self._run_lease_when_configured,
+            "supply": self._order_engines,
+        }
 
-    async def _lease_where_needed(self) -> None:
+    async def _run_lease_when_configured(self) -> None:
         """Hold or watch the lease once the configuration lets anything be ordered."""
         while True:
-            if self._is_asked_for():
+            if self._is_scaling_configured():
                 await self.lease.run()
             await asyncio.sleep(SUPPLY_PAUSE_S)
 
-    def _is_asked_for(self) -> bool:
+    def _is_scaling_configured(self) -> bool:
         table = self._routes()
         if table is None:
             return False
         return any(each.scaling is not None for each in table.configuration.services)
 
-    async def _supply(self) -> None:
+    async def _order_engines(self) -> None:
         await repeat_on_duty(
             "orders of endpoints",
             lambda: self.lease.is_valid,
             SUPPLY_PAUSE_S,
-            self._keeper.order_engines,
+            self._scaler.order_engines,
         )
--- a/src/bankrudder/node/_usage.py
+++ b/src/bankrudder/node/_usage.py
@@ -22,7 +22,7 @@
 USAGE_LEASE = "usage"
 
 
-class UsageParts:
+class UsageComponents:
     """Counting on each host, and the duty of one to report."""
 
     def __init__(
@@ -41,7 +41,7 @@
         terms = UsageTerms(
             timedelta(seconds=usage.window_s), timedelta(seconds=usage.late_s)
         )
-        forgotten_s = usage.window_s + usage.late_s
+        host_expiry_s = usage.window_s + usage.late_s
         rows = UsageRows(store, clock)
         self.lease = lease
         self.book = UsageBook(terms, time)
@@ -56,11 +56,11 @@
             time,
             lambda: lease.fence,
             lambda seconds: presence.seen.is_everyone_heard(
-                settings.host, seconds, forgotten_s
+                settings.host, seconds, host_expiry_s
             ),
         )
 
-    def works(self) -> dict[str, Callable[[], Awaitable[None]]]:
+    def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
         """Return what runs all the time, by its name."""
         return {
             "usage lease": self.lease.run,
--- a/tests/node/test_reach.py
+++ b/tests/node/test_store_reachability.py
@@ -5,17 +5,17 @@
 
 import pytest
 
-from bankrudder.node._reach import UNREADY_AFTER, is_cut_off
+from bankrudder.node._store_reachability import UNREADY_AFTER, is_store_unreachable
 from outside.site import until
 from outside.store import GateMode
 
 
 def test_a_single_failure_does_not_count(hand_clock):
     now = hand_clock.monotonic()
-    assert not is_cut_off(None, hand_clock)
-    assert not is_cut_off(now, hand_clock)
+    assert not is_store_unreachable(None, hand_clock)
+    assert not is_store_unreachable(now, hand_clock)
     hand_clock.advance(UNREADY_AFTER.total_seconds())
-    assert is_cut_off(now, hand_clock)
+    assert is_store_unreachable(now, hand_clock)
 
 
 async def is_unready(host):
