--- a/src/bankrudder/node/__init__.py
+++ b/src/bankrudder/node/__init__.py
@@ -1,4 +1,4 @@
-"""One host of the system on the platform."""
+"""One node: the daemon that serves requests and batches on a host."""
 
 from bankrudder.node._adapter import Adapter, Listener, RequestListener
 from bankrudder.node._documents import Documents, UnreadableDocumentError
--- a/src/bankrudder/node/_adapter.py
+++ b/src/bankrudder/node/_adapter.py
@@ -1,4 +1,4 @@
-"""What a node needs of the outside, as an adapter provides it."""
+"""Interface of an adapter, which connects a node to a platform."""
 
 from typing import Protocol
 
@@ -12,19 +12,19 @@
 
 
 class Listener(Protocol):
-    """A socket that is served."""
+    """A server on one listening socket."""
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening; raises `OSError` if the address cannot be bound."""
         ...
 
     async def stop(self) -> None:
-        """Stop listening and close what is left."""
+        """Stop listening and close the open connections."""
         ...
 
 
 class RequestListener(Listener, Protocol):
-    """The listener for callers."""
+    """A listener that counts its requests in progress."""
 
     @property
     def in_progress(self) -> int:
@@ -33,7 +33,7 @@
 
 
 class Adapter(Protocol):
-    """What connects a host to the outside."""
+    """The connections of a node to its platform."""
 
     @property
     def store(self) -> Store:
@@ -42,27 +42,27 @@
 
     @property
     def endpoints(self) -> EndpointClient:
-        """The client of endpoints."""
+        """The client for calls to endpoints."""
         ...
 
     @property
     def duties(self) -> DutyApi | None:
-        """The client of the interface for duties, None if there is none."""
+        """The client of the platform's API for duties, None if it has none."""
         ...
 
     @property
     def documents(self) -> Documents:
-        """Where documents are, and how they are decoded."""
+        """The location and the decoding of the platform's documents."""
         ...
 
     def caller_listener(
         self, settings: NodeSettings, gateway: Gateway, clock: Clock
     ) -> RequestListener:
-        """Make the listener for callers."""
+        """Create the listener for callers and trainers."""
         ...
 
     def readiness_listener(self, settings: NodeSettings, gateway: Gateway) -> Listener:
-        """Make the listener for the balancer."""
+        """Create the listener for readiness checks of the load balancer."""
         ...
 
     async def close(self) -> None:
--- a/src/bankrudder/node/_components.py
+++ b/src/bankrudder/node/_components.py
@@ -1,4 +1,4 @@
-"""The parts of a node, and how they are put together."""
+"""Creation of a node's components and their dependencies."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -67,12 +67,13 @@
 from bankrudder.world import Clock
 
 ORDERS_LEASE = "orders"
+"""Lease of the host that assigns model versions to engines and removes old rows."""
 
 AsyncFunction = Callable[[], Awaitable[None]]
 
 
 class NodeComponents:
-    """All parts of one node; none of them runs yet."""
+    """All components of one node; creating them starts none."""
 
     def __init__(
         self,
@@ -137,7 +138,7 @@
     def while_lease_held(
         self, duty: str, pause_s: float, function: AsyncFunction
     ) -> AsyncFunction:
-        """Return work that is done after each pause while this host holds the lease."""
+        """Return a loop that calls `function` while this host has the orders lease."""
 
         async def repeat() -> None:
             await repeat_on_duty(duty, lambda: self.lease.is_valid, pause_s, function)
@@ -145,7 +146,7 @@
         return repeat
 
     def platform_duties(self) -> dict[str, AsyncFunction]:
-        """Return what runs all the time for the duties towards the platform."""
+        """Return the background tasks for duties to the platform, by name."""
         background_tasks: dict[str, AsyncFunction] = {}
         if self.usage is not None:
             background_tasks |= self.usage.background_tasks()
@@ -154,7 +155,7 @@
         return background_tasks
 
     async def share_paces(self) -> None:
-        """Tell how quick the engines are, and learn it while giving orders."""
+        """Write the measured paces of engines, and read all while holding the lease."""
         while True:
             await asyncio.sleep(PACES_PAUSE_S)
             if self.batches.running_batch_count:
@@ -163,7 +164,7 @@
                 await self._paces.read_all()
 
     def cleaning_tasks(self) -> dict[str, AsyncFunction]:
-        """Return what removes old rows, by what it removes."""
+        """Return the background tasks that remove old rows, by what they remove."""
         cleaners = {
             "batches": (batches.CLEANING_PAUSE_S, self._batch_cleaner.clean),
             "hosts": (presence.CLEANING_PAUSE_S, self._host_cleaner.clean),
@@ -175,7 +176,7 @@
         }
 
     def make_election(self, feeds: FeedSettings) -> ReaderElection:
-        """Make what decides whether this host reads the store for others."""
+        """Create the election of the host that reads the store for the data centre."""
         row_filter = FeedRowFilter(self._documents)
 
         def make_publisher(send: Callable[[FeedMessage], None]) -> FeedPublisher:
@@ -224,7 +225,10 @@
         )
 
     def _wall_ahead_s(self) -> float | None:
-        """Tell the others of this host's clock if what they do needs it."""
+        """Return how far the wall clock is ahead of the store's; None without duties.
+
+        Reports of usage, one of the duties, need it from all hosts.
+        """
         if self._settings.duties is None:
             return None
         ahead_s = self._store_clock.wall_ahead_s()
@@ -317,7 +321,7 @@
             BatchReader(self.repository, self._clock),
             self.repository,
             self.instruments,
-            # Every host looks for itself, also where one reads for the others.
+            # Each host refreshes its keys itself, even if one reads for the others.
             KeyRefresher.from_config(
                 self.platform_state.refresh_configuration,
                 self._probe_pace(),
@@ -328,7 +332,7 @@
         )
 
     def _can_serve_requests(self) -> bool:
-        """Whether requests that arrive here can be served."""
+        """Whether this host can serve the requests that it receives."""
         return (
             self.platform_state.is_complete
             and self.presence.is_announced
@@ -336,14 +340,14 @@
         )
 
     def _probe_pace(self) -> ReadPace:
-        """Every host probes for itself, also where one reads for the others."""
+        """Return the pace of reads that each host makes itself, even with a feed."""
         return ReadPace(self._host_count, self._settings.store.reads_per_s)
 
     def _host_count(self) -> int:
         return self.presence.host_count()
 
     def _is_feed_in_use(self) -> bool:
-        """Whether one host of each data centre reads for all."""
+        """Whether one host of each data centre reads the store for the others."""
         return self.store.role is not FeedRole.DIRECT
 
     def _routes(self) -> RoutingTable | None:
--- a/src/bankrudder/node/_documents.py
+++ b/src/bankrudder/node/_documents.py
@@ -1,4 +1,4 @@
-"""The platform's documents, as an adapter decodes them."""
+"""The platform's documents in the store, which an adapter locates and decodes."""
 
 from typing import Protocol
 
@@ -6,12 +6,12 @@
 from bankrudder.routing import RoutingConfiguration
 
 MAX_REASON_CHARS = 200
-"""Longest reason that is kept of an unreadable document: it goes into a log line, and
-other writers choose what it quotes."""
+"""Longest reason kept for an unreadable document: the reason is logged, and may quote
+text that any writer of the document chose."""
 
 
 class UnreadableDocumentError(Exception):
-    """A document cannot be understood; ``reason`` says what is wrong with it."""
+    """A document cannot be decoded; ``reason`` gives the cause."""
 
     def __init__(self, reason: str):
         self.reason = reason[:MAX_REASON_CHARS]
@@ -19,10 +19,11 @@
 
 
 class Documents(Protocol):
-    """Where the platform keeps its documents, and how they are decoded.
+    """Location and decoding of the platform's documents.
 
-    Anybody may write these tables, so each decoder raises `UnreadableDocumentError`
-    for anything that is not a whole document of its kind, and nothing else.
+    Other programs write these tables. Each decoder therefore raises
+    `UnreadableDocumentError`, and no other exception, for any value that is not a
+    complete document of its kind.
     """
 
     configuration_table: str
@@ -31,13 +32,13 @@
     endpoints_table: str
 
     def configuration(self, body: bytes) -> RoutingConfiguration:
-        """Decode a configuration."""
+        """Decode a routing configuration."""
         ...
 
     def endpoint(self, endpoint_id: str, body: bytes) -> Endpoint:
-        """Decode an entry of the endpoints' list."""
+        """Decode an entry of the list of endpoints."""
         ...
 
     def named_version(self, body: bytes) -> ModelState:
-        """Decode a version that was named."""
+        """Decode the model version that a trainer named."""
         ...
--- a/src/bankrudder/node/_feeds.py
+++ b/src/bankrudder/node/_feeds.py
@@ -1,4 +1,8 @@
-"""What rows of the store mean, so that heartbeats need not be passed on whole."""
+"""Decides which writes of a row are relayed in full to the hosts of a data centre.
+
+Heartbeats rewrite rows without a significant change; such writes need not be relayed in
+full.
+"""
 
 import msgspec
 
@@ -8,13 +12,13 @@
 
 
 class FeedRowFilter:
-    """Tells what a row means without what changes with each heartbeat."""
+    """Tells significant changes of rows from mere heartbeats."""
 
     def __init__(self, documents: Documents):
         self._documents = documents
 
     def significant_content(self, row: Row) -> bytes:
-        """Return what is the same for two rows that mean the same."""
+        """Return the content of a row without what each heartbeat changes."""
         try:
             if row.key.table == self._documents.endpoints_table:
                 endpoint = self._documents.endpoint(row.key.key, row.value)
@@ -23,9 +27,9 @@
                 beat = msgspec.json.decode(row.value, type=Heartbeat)
                 return msgspec.msgpack.encode(msgspec.structs.replace(beat, count=0))
         except (msgspec.DecodeError, UnreadableDocumentError):
-            return row.value  # whoever follows the table says what is wrong
+            return row.value  # the table's follower logs what is invalid
         return row.value
 
     def relays_touches(self, table: str) -> bool:
-        """Whether it must be known that a row was written again."""
+        """Whether subscribers must learn that a row was rewritten without a change."""
         return table == HOSTS_TABLE
--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -1,4 +1,7 @@
-"""What callers and trainers may ask of a host."""
+"""The operations of a host for callers and trainers, behind any listener.
+
+Each operation returns its result, or a refusal as a value.
+"""
 
 from collections.abc import Callable
 
@@ -35,21 +38,27 @@
 from bankrudder.world import NO_WORKSPACE, Clock, SampleId, WorkspaceName
 
 STORE_RETRY_AFTER_S = 0.5
-"""When to come back while the store gives no result here: another host may reach
-it, and outages of single calls are short."""
+"""Retry delay for callers while this host cannot read the store: another host may reach
+it, and failures of single calls are short."""
 
 ACCEPT_RETRY_AFTER_S = 0.1
-"""The same for a batch: it arrives at another host then, which may reach the store, and
-this host has waited for the store's return already."""
+"""Retry delay for a batch that was not accepted: the retry goes to another host, which
+may reach the store, and this host has already waited for the store to recover."""
 
 START_RETRY_AFTER_S = 0.5
-"""When to come back while no configuration is known: about the time of a start."""
+"""Retry delay while no configuration is known: about the time that a start takes."""
 
 _log = structlog.get_logger("gateway")
 
 
 class Gateway:
-    """The requests of callers, trainers, and the balancer's question."""
+    """Routes, admits and serves requests, and reports whether the host is ready.
+
+    Parameters
+    ----------
+    is_ready : callable
+        Whether this host can serve requests, apart from a planned stop.
+    """
 
     def __init__(
         self,
@@ -80,20 +89,20 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this host takes new connections."""
+        """Whether the load balancer should send new connections to this host."""
         return self._is_ready() and not self._is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this host is about to stop."""
+        """Whether this host is draining for a planned stop."""
         return self._is_leaving
 
     def leave(self) -> None:
-        """Take no new connections from now on; what comes is still answered."""
+        """Report the host as not ready; requests that arrive are still answered."""
         self._is_leaving = True
 
     def route(self, host: str, path: str) -> Route | NotRun | NotFound:
-        """Return the route of a request."""
+        """Return the route of a request, or why it has none."""
         table = self._routes()
         if table is None or not table.configuration.revision:
             return NotRun(RejectReason.NO_CONFIGURATION, START_RETRY_AFTER_S)
@@ -108,7 +117,10 @@
     async def admit(
         self, key: ApiKey | None, *, is_public: bool
     ) -> Admitted | Unauthorized | NotRun:
-        """Return whose request it is, or why it may not run."""
+        """Return the workspace of a request, or why the request may not run.
+
+        Before an unknown key is refused, the newest configuration is read.
+        """
         decision = self._decide(key, is_public)
         if decision == Denial(Refusal.UNKNOWN_KEY):
             if not await self._key_refresher.wait_for_refresh():
@@ -122,7 +134,7 @@
     async def admit_to_batches(
         self, key: ApiKey | None
     ) -> Admitted | Unauthorized | NotRun:
-        """Do the same for a call that names a batch, and so no route."""
+        """Admit a call that names a batch and therefore has no route."""
         table = self._routes()
         is_public = table is not None and table.takes_public_batches()
         return await self.admit(key, is_public=is_public)
@@ -136,7 +148,7 @@
         return table.admit(key, is_public=is_public)
 
     async def forward(self, request: IncomingRequest, route: Route) -> Reply:
-        """Return an endpoint's answer to a request, or why there is none."""
+        """Return an endpoint's response to a request, or why there is none."""
         with self._span("gateway.request", request, route) as span:
             traced = msgspec.structs.replace(request, trace=span.traceparent)
             reply = await self._forwarder.forward(traced, route)
@@ -147,7 +159,7 @@
     async def stream(
         self, request: IncomingRequest, route: Route
     ) -> StreamStarted | Reply:
-        """Return the stream of an endpoint, or why there is none."""
+        """Return the started stream of an endpoint, or why there is none."""
         service = self._forwarder.pick_service(route)
         with self._span("gateway.stream", request, route) as span:
             reply = await self._streams.forward(request, route, service)
@@ -165,7 +177,7 @@
         )
 
     async def accept(self, batch: Batch) -> Reply | None:
-        """Keep a batch; None means that it is kept."""
+        """Accept a batch, also again; None means that it is accepted."""
         try:
             is_accepted = await self._batches.accept(batch)
         except StoreUnavailableError as error:
@@ -178,7 +190,7 @@
         except NotSettledError:
             _log.warning("gateway: batch perhaps accepted", batch=batch.id)
             return Unanswered(RejectReason.STORE_UNAVAILABLE, False)
-        # The name is taken: what was sent now is not kept and never will be.
+        # Another batch has this ID, so a retry of this one cannot be accepted either.
         return None if is_accepted else Malformed("id: another batch has this name")
 
     def _record_reply(
@@ -194,7 +206,7 @@
         wait_s: float,
         caller_workspace: WorkspaceName,
     ) -> ResultPage | NotRun | NotFound:
-        """Return results of a batch of a workspace from a position on."""
+        """Return results of a batch after a position, if the workspace may see it."""
         try:
             if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
@@ -206,7 +218,7 @@
     async def sample_body(
         self, batch_id: BatchId, sample_id: SampleId, caller_workspace: WorkspaceName
     ) -> bytes | NotRun | NotFound:
-        """Return the body of a sample of a workspace."""
+        """Return the body of a sample, if the workspace may see its batch."""
         try:
             if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
@@ -218,7 +230,7 @@
     async def end(
         self, batch_id: BatchId, caller_workspace: WorkspaceName
     ) -> Reply | None:
-        """End a batch of a workspace; None means that it is ended."""
+        """End a batch, if the workspace may see it; None means that it is ended."""
         try:
             if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
@@ -232,7 +244,7 @@
     async def _is_visible(
         self, batch_id: BatchId, caller_workspace: WorkspaceName
     ) -> bool:
-        """Whether there is such a batch for callers of a workspace."""
+        """Whether the batch exists and callers of the workspace may see it."""
         owner = await self._reader.workspace_of(batch_id)
         if owner is None:
             return False
--- a/src/bankrudder/node/_instruments.py
+++ b/src/bankrudder/node/_instruments.py
@@ -19,7 +19,13 @@
 
 
 class Instruments:
-    """What a node measures itself; levels are gathered by sources of their own."""
+    """Histograms and counters of a node; gauges come from other sources of samples.
+
+    Parameters
+    ----------
+    line_limit : LineLimit
+        Counts the log lines by event.
+    """
 
     def __init__(self, metrics: Metrics, line_limit: LineLimit):
         self._metrics = metrics
@@ -36,7 +42,7 @@
 
     @classmethod
     def from_config(cls, host: HostId, line_limit: LineLimit) -> "Instruments":
-        """Make the instruments of the node on `host`."""
+        """Create the instruments of the node on `host`."""
         return cls(Metrics.from_config(host), line_limit)
 
     @property
@@ -47,17 +53,17 @@
     def observe_request(
         self, kind: RouteKind, reply: Reply | StreamStarted, seconds: float
     ) -> None:
-        """Count a request and its time."""
+        """Record a request and its duration."""
         outcome, reason = _outcome(reply)
         self._requests.observe(seconds, kind=kind.value, outcome=outcome, reason=reason)
 
     def observe_store_call(self, call: str, outcome: str, seconds: float) -> None:
-        """Count a call to the store and its time."""
+        """Record a call to the store and its duration."""
         self._store_calls.observe(seconds, call=call, outcome=outcome)
 
     def _decision_samples(self) -> Iterable[Sample]:
-        # Each decision writes a line, so the counts of lines are those of decisions,
-        # also of the lines that were left out.
+        # Each decision logs one line. The totals include the lines that the limit
+        # dropped, so they are the number of decisions.
         for (event, level), count in self._line_limit.totals.items():
             yield Sample.counter(
                 "bankrudder_decisions_total",
--- a/src/bankrudder/node/_key_refresher.py
+++ b/src/bankrudder/node/_key_refresher.py
@@ -1,4 +1,4 @@
-"""Looks at the newest configuration before an unknown key is refused."""
+"""Reads the newest configuration before a request with an unknown key is refused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,29 +12,30 @@
 
 REFRESH_READS_SHARE = 0.05
 MIN_REFRESH_PAUSE_S = 0.2
-"""Share of the store's reads that looks for unknown keys may take, and the least pause
-between two of them: about the time in which an answer is most useful."""
+"""Share of the store's reads that refreshes may take, and the shortest pause between
+two of them: about the time within which a response is most useful to a caller."""
 
 REFRESH_TIMEOUT_S = 0.3
-"""Longest time for a look: sixty times a usual read of the store."""
+"""Longest duration of a refresh: sixty times that of a usual read of the store."""
 
 MAX_WAITING_COUNT = 100
-"""Requests that wait for a look at once. Unknown keys beyond it are refused unseen, so
-that a flood of them holds no memory; a request holds some kilobytes."""
+"""Number of requests that may wait for a refresh at once. Further requests with unknown
+keys are refused without one, so that a flood of them takes no memory; each waiting
+request holds a few kilobytes."""
 
 _log = structlog.get_logger("gateway")
 
 
 class KeyRefresher:
-    """Shares looks among the requests that came with unknown keys.
+    """Refreshes the configuration, once for all requests that wait for it.
 
     Parameters
     ----------
     refresh : callable
-        Reads the newest configuration and puts it in force; raises
-        `StoreUnavailableError`.
+        Reads and applies the newest configuration; raises `StoreUnavailableError`
+        if it cannot be read.
     pace : UnknownKeyRefresh
-        When looks may begin.
+        Decides when a refresh may begin.
     """
 
     def __init__(self, refresh: Callable[[], Awaitable[None]], pace: UnknownKeyRefresh):
@@ -47,14 +48,14 @@
     def from_config(
         cls, refresh: Callable[[], Awaitable[None]], pace: ReadPace, clock: Clock
     ) -> Self:
-        """Make one that shares the store's reads with the other hosts."""
+        """Create a refresher whose rate leaves the other hosts their share of reads."""
         pause_s = pace.pause(REFRESH_READS_SHARE, MIN_REFRESH_PAUSE_S)
         return cls(refresh, UnknownKeyRefresh(pause_s, clock))
 
     async def wait_for_refresh(self) -> bool:
-        """Wait for a look; return whether the configuration in force is the newest.
+        """Wait for a refresh; return whether the known configuration is the newest.
 
-        It is taken for that too where too many requests wait already.
+        Returns True without a refresh if `MAX_WAITING_COUNT` requests already wait.
         """
         if self._waiting_count >= MAX_WAITING_COUNT:
             return True
--- a/src/bankrudder/node/_leases.py
+++ b/src/bankrudder/node/_leases.py
@@ -1,4 +1,4 @@
-"""The leases of one host, each on a duty of its own."""
+"""The leases of one host, one for each duty."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 class HostLeases:
-    """Makes the leases, and does to all of them what concerns all."""
+    """Creates the leases, and releases or reconfigures all of them together."""
 
     def __init__(
         self,
@@ -31,7 +31,14 @@
     def make(
         self, name: str, on_change: Callable[[bool], None] = lambda _: None
     ) -> Lease:
-        """Make the lease on a duty."""
+        """Create the lease on a duty.
+
+        Parameters
+        ----------
+        on_change : callable
+            Called with True when this host acquires the lease, with False when it
+            loses it.
+        """
         order = DrawnOrder(name)
 
         def is_candidate() -> bool:
@@ -52,10 +59,10 @@
         return lease
 
     async def release(self) -> None:
-        """Give up all duties before a planned stop."""
+        """Release all leases before a planned stop."""
         await asyncio.gather(*(lease.release() for lease in self._leases))
 
     def set_duration(self, seconds: float) -> None:
-        """Change the length of all leases from their next renewal on."""
+        """Change the duration of all leases from their next renewal on."""
         for lease in self._leases:
             lease.set_duration(seconds)
--- a/src/bankrudder/node/_main.py
+++ b/src/bankrudder/node/_main.py
@@ -1,4 +1,4 @@
-"""The daemon: one process, run until it is told to stop."""
+"""Entry point of the daemon: settings, logging, signals, and the node's event loop."""
 
 import argparse
 import asyncio
@@ -35,12 +35,12 @@
 def run_daemon(
     make_adapter: Callable[[NodeSettings], Adapter], argv: list[str] | None = None
 ) -> None:
-    """Run a daemon and exit.
+    """Run a daemon; exit with an error code if it cannot start.
 
     Parameters
     ----------
     make_adapter : callable
-        Makes what connects the daemon to the outside.
+        Creates the connections of the daemon to the platform.
     """
     arguments = _parser().parse_args(argv)
     clock = SystemClock()
@@ -99,12 +99,12 @@
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
-        description="Run one node until SIGTERM, which ends what is in progress first."
+        description="Run one node; SIGTERM stops it once its requests are completed."
     )
     parser.add_argument(
         "--settings",
         default=os.environ.get(SETTINGS_VARIABLE, ""),
         metavar="FILE",
-        help=f"the node's settings, as JSON; {SETTINGS_VARIABLE} names it by default",
+        help=f"JSON file of the node's settings (default: {SETTINGS_VARIABLE}'s value)",
     )
     return parser
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -1,4 +1,4 @@
-"""One host of the system: its parts, its start, and its planned stop."""
+"""The node: starts its components, keeps them running, and drains before a stop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -19,26 +19,34 @@
     from bankrudder.node._rpc_interface import RpcInterface
 
 MIN_DRAIN_S = 2.6
-"""Time for which new connections are still answered after the request to stop: the
-balancer asks once a second and leaves a host out after two questions."""
+"""Shortest time for which a stopping node still answers new connections: the load
+balancer checks readiness once a second and excludes a host after two failed checks."""
 
 BATCHES_GRACE_SHARE = 0.55
-"""Share of the grace time in which batches may still end here before they are handed
-over: most end sooner, and a handover takes well under a second."""
+"""Share of the grace period in which batches may still finish on this host before they
+are handed over: most finish sooner, and a handover takes well under a second."""
 
 CLOSE_MARGIN_S = 1.0
-"""Time that is kept at the end of the grace time for closing connections."""
+"""Time reserved at the end of the grace period for closing connections."""
 
 HANDOVER_RETRY_PAUSE_S = 0.2
-"""Pause before another try to hand batches over while the store does not take it."""
+"""Pause before batches are handed over again after the store did not commit it."""
 
 POLL_INTERVAL_S = 0.05
+"""Interval between two checks while draining, and pause before a component that ended
+is run again."""
 
 _log = structlog.get_logger("node")
 
 
 class Node:
-    """One daemon."""
+    """One daemon: components, listeners and background tasks.
+
+    Parameters
+    ----------
+    line_limit : LineLimit
+        Also counts the log lines, for the metric of decisions.
+    """
 
     def __init__(
         self,
@@ -69,14 +77,14 @@
         clock: Clock,
         line_limit: LineLimit,
     ) -> Self:
-        """Make a node that `run` starts."""
+        """Create a node; `run` starts it."""
         return cls(settings, adapter, clock, line_limit)
 
     def reload(self, settings: NodeSettings) -> None:
-        """Take the settings that may change while the node runs.
+        """Apply the settings that may change while the node runs.
 
-        These are the grace time and the length of leases; listeners, names and the
-        store stay as they were until the next start.
+        These are the grace period and the duration of leases. Changes of listeners,
+        names and the store take effect at the next start.
         """
         _log.info(
             "node: settings reloaded",
@@ -89,11 +97,11 @@
         self._components.leases.set_duration(settings.lease_ms / 1000)
 
     def stop(self) -> None:
-        """Begin a planned stop."""
+        """Request a planned stop; `run` drains and returns."""
         self._stop_requested.set()
 
     async def run(self) -> None:
-        """Serve until a planned stop is through.
+        """Serve until a planned stop has completed.
 
         Raises
         ------
@@ -151,7 +159,7 @@
         )
 
     def _gauge_samples(self) -> Iterable[Sample]:
-        """Yield what the node holds now, for its metrics."""
+        """Yield the gauges of the node, at each scrape of its metrics."""
         routes = self._components.platform_state.routes
         gauges = {
             "bankrudder_batches_in_work": self._components.batches.running_batch_count,
@@ -190,7 +198,7 @@
     async def _run_with_restarts(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
-        """Run a part; one that fails is logged and run again."""
+        """Run a component until cancelled; log failures and run it again."""
         while True:
             try:
                 await function()
--- a/src/bankrudder/node/_platform_state.py
+++ b/src/bankrudder/node/_platform_state.py
@@ -1,4 +1,4 @@
-"""What a host knows from the platform: configuration, endpoints, named versions."""
+"""The platform's state as a host knows it: configuration, endpoints, model versions."""
 
 import asyncio
 from collections.abc import Iterable, Mapping
@@ -17,31 +17,33 @@
 from bankrudder.world import Clock, ModelVersion
 
 MIN_ENDPOINTS_PAUSE_S = 0.25
-"""Shortest pause between reads of the endpoints' list, whose heartbeats come many times
-a second: a delay of an eighth of the time in which a draining endpoint must be left."""
+"""Shortest pause between two reads of the list of endpoints, which heartbeats change
+many times a second. The pause delays changes by an eighth of the time within which no
+new requests may go to a draining endpoint."""
 
 ENDPOINTS_READS_SHARE = 0.4
-"""Share of the reads of the store that the endpoints' list may take: the largest, as it
-has to be read the most often."""
+"""Share of the store's reads that the list of endpoints may take: the largest share,
+because the list is read the most often."""
 
 CONFIGURATION_READS_SHARE = 0.2
 MIN_CONFIGURATION_WAIT_S = 0.8
-"""The same for the configuration, and the shortest time for which its reads may be
-held: together with the time in which a connection that fell silent is noticed it stays
-under the two seconds in which a configuration must be in force."""
+"""Share of the store's reads for following the configuration, and the shortest time for
+which the store may hold such a read while nothing changes. This time plus the time to
+detect a silent connection is below the two seconds within which a new configuration
+must be in force."""
 
 EXPIRY_CHECK_INTERVAL_S = 0.2
-"""How often it is looked for endpoints that did not come back in time: a tenth of that
-time."""
+"""Interval between two checks for endpoints that were not listed again in time: a tenth
+of `RELISTING_WAIT_S`."""
 
 NO_CONFIGURATION = RoutingConfiguration(0, (), ())
-"""What is in force before the platform's first configuration is known."""
+"""The configuration in force before the platform's first one is known."""
 
 _log = structlog.get_logger("node")
 
 
 class PlatformState:
-    """Follows the platform's tables."""
+    """Follows the platform's tables, and applies each change."""
 
     def __init__(
         self,
@@ -76,25 +78,25 @@
 
     @property
     def routes(self) -> RoutingTable | None:
-        """The newest configuration, None before the first one is known."""
+        """The routes of the configuration in force, None before the first one."""
         return self._routes
 
     @property
     def named_versions(self) -> Mapping[ModelName, ModelVersion]:
-        """Newest version that was named, by model."""
+        """Newest version that a trainer named or published, by model."""
         return self._named_versions
 
     @property
     def is_complete(self) -> bool:
-        """Whether configuration and endpoints are known."""
+        """Whether a configuration and the list of endpoints are known."""
         return self._routes is not None and self._endpoints.is_loaded
 
     def endpoints_current_for_s(self) -> float:
-        """Return the seconds for which reads of the endpoints' list have not failed."""
+        """Return the seconds for which no read of the list of endpoints has failed."""
         return self._endpoints.current_for_s()
 
     def set_job_routes(self, routes: Iterable[Route]) -> None:
-        """Replace the routes of the project's own configuration."""
+        """Replace the routes of jobs, which operators configure over gRPC."""
         self._job_routes = tuple(routes)
         configuration = NO_CONFIGURATION
         if self._routes is not None:
@@ -102,7 +104,7 @@
         self._routes = RoutingTable(configuration, self._job_routes)
 
     def table_ages_s(self) -> dict[str, float]:
-        """Return, by table, the seconds since it was last read."""
+        """Return the seconds since the last read of each table."""
         now = self._clock.monotonic()
         followers = {
             self._documents.configuration_table: self._configuration,
@@ -115,7 +117,7 @@
         }
 
     async def refresh_configuration(self) -> None:
-        """Put the newest configuration in force, beside the following.
+        """Read and apply the newest configuration without waiting for the follower.
 
         Raises
         ------
@@ -147,7 +149,7 @@
             elif key.startswith(self._documents.named_version_prefix):
                 self.update_named_version(self._documents.named_version(row.value))
         except UnreadableDocumentError as error:
-            # What was in force stays so.
+            # The document that was decoded before stays in force.
             _log.error("node: document not understood", key=key, reason=error.reason)
 
     def _apply_configuration(self, configuration: RoutingConfiguration) -> None:
@@ -168,13 +170,13 @@
         )
 
     def update_named_version(self, named: ModelState) -> None:
-        """Take a version that a trainer named or published; versions only grow."""
+        """Apply a version that a trainer named or published if it is the newest."""
         if named.version > self._named_versions.get(named.model, 0):
             self._named_versions[named.model] = named.version
             _log.info("node: version named", model=named.model, version=named.version)
 
     def _on_document_removed(self, key: RowKey) -> None:
-        # What was in force stays so: there is nothing to replace it.
+        # The removed document stays in force: there is none to replace it.
         _log.warning("node: document removed", key=key.key)
 
     def _on_endpoint(self, row: Row) -> None:
--- a/src/bankrudder/node/_rpc_interface.py
+++ b/src/bankrudder/node/_rpc_interface.py
@@ -1,7 +1,8 @@
-"""The project's own interface on one host: calls, steps, operators, over gRPC.
+"""The gRPC interface of a node for callers, trainers and operators.
 
-It stands on the same parts as the platform's front. Imported only where the settings
-name an address for it: gRPC costs some twenty megabytes.
+It uses the same components as the listeners for the platform. The module is imported
+only if the settings give the interface an address, because gRPC takes about twenty
+megabytes of memory.
 """
 
 import asyncio
@@ -45,16 +46,16 @@
 from bankrudder.world import Clock
 
 STOP_GRACE_S = 0.5
-"""Time that calls in progress get once everything else has ended."""
+"""Time for calls in progress to finish after everything else has stopped."""
 
 
 class RpcInterface:
-    """Listens for callers, trainers and operators.
+    """Serves callers, trainers and operators over gRPC.
 
     Parameters
     ----------
     drain : callable
-        Begins the host's planned stop.
+        Requests the planned stop of the node.
     """
 
     def __init__(
@@ -93,14 +94,14 @@
         self._add_services(drain)
 
     async def start(self) -> None:
-        """Listen; raises `OSError` if the address cannot be bound."""
+        """Start listening; raises `OSError` if the address cannot be bound."""
         try:
             await self._server.start()
         except RuntimeError as error:
             raise OSError(str(error)) from None
 
     async def run(self) -> None:
-        """Follow the configuration and published versions until cancelled."""
+        """Follow configuration and published versions, and remove old call records."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._configuration.run())
             group.create_task(self._versions.run())
@@ -121,7 +122,7 @@
         return self._context.held.requests
 
     async def stop(self) -> None:
-        """Stop listening and end what is left."""
+        """Stop listening, and cancel calls that exceed `STOP_GRACE_S`."""
         await self._server.stop(STOP_GRACE_S)
 
     def _add_services(self, drain: Callable[[], None]) -> None:
--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -1,6 +1,6 @@
-"""Settings of a daemon: one JSON document, checked as a whole.
+"""Settings of a daemon: one JSON document, which is validated as a whole.
 
-They are what one process must know before it can ask anyone. Everything else is
+Settings are what a process needs before it can read the store. Everything else is
 configuration, which operators apply.
 """
 
@@ -22,18 +22,18 @@
 
 
 class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of the parts of the settings."""
+    """Base of the sections of the settings; unknown fields are errors."""
 
 
 class StoreSettings(_Section, frozen=True):
-    """The platform's store.
+    """Connection to the platform's store, and its limits.
 
     Attributes
     ----------
     row_bytes : int
-        Largest value of a row.
+        Largest size of a row's value.
     reads_per_s : float
-        Reads that it takes from all hosts together, a second.
+        Reads per second that the store accepts from all hosts together.
     """
 
     address: Address
@@ -42,15 +42,15 @@
 
 
 class FeedSettings(_Section, frozen=True):
-    """Reading of the store by one host of each data centre for all others.
+    """Feed through which one host of each data centre reads the store for the others.
 
     Attributes
     ----------
     address : Address
-        Where this host sends to its subscribers if it reads.
+        Where this host serves its subscribers while it is the reader.
     min_hosts : int
-        Smallest fleet in which this is done: below it, each host's own reads are few
-        enough, and the library for it costs twelve megabytes.
+        Smallest number of hosts with which the feed is used. Fewer hosts can each
+        read the store, and save the twelve megabytes that the feed's library takes.
     """
 
     address: Address
@@ -58,14 +58,14 @@
 
 
 class UsageSettings(_Section, frozen=True):
-    """Reports of what each workspace used.
+    """Reports to the platform of the usage of each workspace.
 
     Attributes
     ----------
     window_s : float
-        Length of the time that one report is about.
+        Duration of the window that one report covers.
     late_s : float
-        Time after its end by which the report is due.
+        Time after the end of a window by which its report is due.
     """
 
     window_s: float
@@ -73,16 +73,16 @@
 
 
 class DutySettings(_Section, frozen=True):
-    """The platform's interface for what one host at a time has to tell it.
+    """The platform's API for duties, which one host at a time carries out.
 
     Attributes
     ----------
     calls_per_s : float
-        Calls that it takes from all hosts together, a second.
+        Calls per second that the API accepts from all hosts together.
     usage : UsageSettings or None
-        None if nobody asks for reports.
+        None if the platform expects no reports.
     orders_endpoints : bool
-        Whether it takes orders of endpoints.
+        Whether the API accepts orders of endpoints.
     """
 
     address: Address
@@ -92,15 +92,15 @@
 
 
 class RpcSettings(_Section, frozen=True):
-    """The project's own interface, over gRPC.
+    """The gRPC interface for callers, trainers and operators.
 
     Attributes
     ----------
     operator_token_sha256 : str
-        Hexadecimal SHA-256 of a token that may always operate, so that the first
-        configuration can be applied; empty for none.
+        Hexadecimal SHA-256 of a token that always has the operator role, so that the
+        first configuration can be applied; empty for none.
     tls : TlsSettings or None
-        This node's identity; None listens in clear.
+        Certificate and key of this node; None listens without TLS.
     """
 
     address: Address
@@ -110,32 +110,33 @@
 
 
 class NodeSettings(_Section, frozen=True):
-    """All settings of one daemon; ``_ms`` and ``_s`` give the unit of times.
+    """All settings of one daemon; names of durations end in their unit.
 
     Attributes
     ----------
     callers_address, readiness_address : Address
-        Listeners for callers and for the platform's balancer.
+        Listeners for callers and for the load balancer's readiness checks.
     processor_share, processor_speed : float
-        Share of a core, and how many times as fast as the usual one it is.
+        Share of a processor core, and the speed of that core relative to the usual
+        one.
     metrics_address : Address or None
-        Listener for metrics, health and spans; None for none.
+        Listener for metrics, health checks and spans; None for none.
     status_retention_s : float
-        Time for which results can be read after the end of a batch.
+        Time after the end of a batch for which its results can be read.
     lease_ms : float
-        Length of a lease on a duty.
+        Duration of a lease on a duty.
     grace_s : float
-        Time between the request to stop and the end by force.
+        Time from the request to stop until the process is killed.
     feeds : FeedSettings or None
-        Reading of the store for other hosts; None to read for this host alone.
+        Feed of the store's changes; None lets this host read the store for itself.
     log_level : LogLevel
-        Least severe lines that are written; a reload changes it.
+        Lowest level of the log lines that are written; a reload changes it.
     rpc : RpcSettings or None
-        The project's own interface; None for none.
+        The gRPC interface; None for none.
     duties : DutySettings or None
-        The platform's interface for duties; None if it has none.
+        The platform's API for duties; None if it has none.
     traces : TraceExport
-        Where finished spans go besides memory.
+        Where finished spans are exported to, besides the copy in memory.
     """
 
     host: HostId
@@ -157,7 +158,7 @@
 
 
 class _InvalidValue(msgspec.Struct, frozen=True):
-    """A field, its value, and what is allowed."""
+    """A field with an invalid value, and the rule that the value breaks."""
 
     field: str
     value: object
@@ -165,13 +166,13 @@
 
 
 def load_settings(path: Path) -> NodeSettings:
-    """Read and check settings.
+    """Read and validate settings.
 
     Raises
     ------
     InvalidError
-        If the file cannot be read; else for the first wrong field, with its path,
-        its value and what is allowed.
+        If the file cannot be read, or a field is invalid. The error names the first
+        invalid field, its value and the rule.
     """
     try:
         body = path.read_bytes()
@@ -185,7 +186,7 @@
 
 
 def parse_settings(body: bytes) -> NodeSettings:
-    """Decode and check settings, raising as `load_settings`."""
+    """Decode and validate settings; raises as `load_settings` does."""
     settings = decode_document(body, NodeSettings)
     invalid = next(_invalid_values(settings), None)
     if invalid is not None:
@@ -200,7 +201,7 @@
 def _invalid_values(settings: NodeSettings) -> Iterator[_InvalidValue]:
     for field in ("host", "data_centre"):
         if not getattr(settings, field).strip():
-            yield _InvalidValue(field, getattr(settings, field), "a name is needed")
+            yield _InvalidValue(field, getattr(settings, field), "must not be empty")
     yield from _invalid_addresses(settings)
     yield from _non_positive_values(settings)
     if settings.rpc is not None:
@@ -212,7 +213,7 @@
     for field, address in _listeners(settings):
         problem = address_error(address)
         if address in seen:
-            problem = "each listener needs an address of its own"
+            problem = "each listener must have its own address"
         if problem:
             yield _InvalidValue(field, address, problem)
         seen.add(address)
@@ -260,7 +261,7 @@
         values |= {f"rpc.limits.{name}": value for name, value in limits.items()}
     for field, value in values.items():
         if value <= 0:
-            yield _InvalidValue(field, value, "allowed is more than 0")
+            yield _InvalidValue(field, value, "must be greater than 0")
 
 
 def _invalid_token_digest(rpc: RpcSettings) -> Iterator[_InvalidValue]:
@@ -269,5 +270,5 @@
         yield _InvalidValue(
             "rpc.operator_token_sha256",
             digest,
-            "allowed are 64 lower-case hexadecimal digits",
+            "must be 64 lower-case hexadecimal digits",
         )
--- a/src/bankrudder/node/_store_reachability.py
+++ b/src/bankrudder/node/_store_reachability.py
@@ -1,13 +1,14 @@
-"""Whether a host should be sent requests, by what it can do for them.
+"""Reports a host as not ready while the store rejects its calls.
 
-Pattern: the store turns a third of the hosts away for several seconds and serves the
-others. Trainers submit batches and read results at any host, each on a new connection;
-one that cannot reach the store keeps them waiting and refuses them in the end, and the
-step that waits for its acceptance is late by one or two seconds.
+The store may reject a third of the hosts for several seconds while it serves the
+others. Trainers submit batches and read results at any host, each on a new connection.
+A host without the store makes them wait and then refuses them, which delays the
+training step by one or two seconds.
 
-Answer: such a host says that it is not ready, so the balancer sends new connections to
-the others, after two questions. If the store is away for all, none is ready, and the
-balancer uses all of them as before. What arrives nevertheless is tried as ever.
+Such a host therefore reports that it is not ready, and after two checks the load
+balancer sends new connections to the other hosts. In a store outage no host is ready,
+and the balancer uses all of them as before. A host that is not ready still serves the
+requests that it receives.
 """
 
 from datetime import timedelta
@@ -15,17 +16,18 @@
 from bankrudder.world import Clock
 
 UNREADY_AFTER = timedelta(milliseconds=300)
-"""Time for which calls to the store must have failed: longer than a single lost reply
-takes to be asked again, and short of the second between two questions."""
+"""Time for which calls to the store must have failed: longer than the retry after a
+single lost reply takes, and shorter than the second between two readiness checks."""
 
 
 def is_store_unreachable(fails_since: float | None, clock: Clock) -> bool:
-    """Whether the calls of this host to the store have failed for a while.
+    """Whether this host's calls to the store have failed for `UNREADY_AFTER`.
 
     Parameters
     ----------
     fails_since : float or None
-        Monotonic time of the first failed call in a row, None if calls succeed.
+        Monotonic time of the first of the consecutive failed calls, None if the last
+        call succeeded.
     """
     if fails_since is None:
         return False
--- a/src/bankrudder/node/_supply.py
+++ b/src/bankrudder/node/_supply.py
@@ -1,4 +1,4 @@
-"""The parts that order endpoints, and the duty of one host to do so."""
+"""Components that order endpoints from the platform, a duty of one host at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,10 +13,11 @@
 from bankrudder.world import Clock
 
 SUPPLY_LEASE = "supply"
+"""Lease of the host that orders endpoints."""
 
 
 class SupplyComponents:
-    """The duty to order endpoints."""
+    """The lease on the duty to order endpoints, and the scaler that carries it out."""
 
     def __init__(
         self,
@@ -37,14 +38,14 @@
         )
 
     def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return what runs all the time, by its name."""
+        """Return the background tasks, by name."""
         return {
             "supply lease": self._run_lease_when_configured,
             "supply": self._order_engines,
         }
 
     async def _run_lease_when_configured(self) -> None:
-        """Hold or watch the lease once the configuration lets anything be ordered."""
+        """Run the lease once the configuration lets a service scale."""
         while True:
             if self._is_scaling_configured():
                 await self.lease.run()
--- a/src/bankrudder/node/_usage.py
+++ b/src/bankrudder/node/_usage.py
@@ -1,4 +1,4 @@
-"""The parts that count what workspaces use, and report it."""
+"""Components that count the usage of each workspace and report it to the platform."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -20,10 +20,11 @@
 from bankrudder.world import Clock
 
 USAGE_LEASE = "usage"
+"""Lease of the host that reports usage."""
 
 
 class UsageComponents:
-    """Counting on each host, and the duty of one to report."""
+    """The counts of this host, and the duty of one host to report those of all."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         )
 
     def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return what runs all the time, by its name."""
+        """Return the background tasks, by name."""
         return {
             "usage lease": self.lease.run,
             "usage counts": self.keeper.run,
