--- a/tests/node/test_batches.py
+++ b/tests/node/test_batches.py
@@ -1,4 +1,4 @@
-"""Batches survive what may happen to hosts, engines and the store."""
+"""Batches survive failures of hosts, engines and the store."""
 
 import asyncio
 import json
@@ -11,13 +11,13 @@
 from outside.trainer_calls import sample_body
 
 SLOW_GAP_S = 0.05
-"""Time between two events that leaves room for a fault in the middle of a batch."""
+"""Time between two events, so that a fault can occur in the middle of a batch."""
 
 RESULTS_DUE_S = 7.5
-"""Time in which a trainer asks for the results of a step."""
+"""Time within which a trainer expects the results of a step."""
 
 
-def split(site):
+def owner_and_others(site):
     """Return the host that owns the batch, and all others."""
     [row] = [row for key, row in site.rows.rows.items() if key[0] == "owners"]
     name = json.loads(row[1])["host"]
@@ -25,8 +25,8 @@
     return owner, [host for host in site.hosts if host is not owner]
 
 
-def slow(site, events=20):
-    """Let the engines be so slow that a fault comes in the middle of a batch."""
+def slow_engines(site, events=20):
+    """Make the engines so slow that a fault occurs in the middle of a batch."""
     for engine in site.engines:
         engine.event_gap_s = SLOW_GAP_S
         engine.events = events
@@ -43,7 +43,7 @@
     assert first == second
 
 
-async def test_a_batch_that_comes_again_is_accepted_once(site):
+async def test_a_resubmitted_batch_is_accepted_once(site):
     statuses = await asyncio.gather(*(site.submit(host, "b1") for host in site.hosts))
     assert statuses == [202, 202, 202]
     check_results(await site.read_all("b1", 8), "b1", 8)
@@ -58,15 +58,15 @@
     assert await site.end(site.hosts[0], "none") == 404
 
 
-async def test_bodies_are_given_until_the_end(site):
-    slow(site)
+async def test_sample_bodies_can_be_read_until_the_batch_ends(site):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     status, body = await site.ask(site.hosts[1], sample_body("b1", "b1-s3"))
     assert (status, body) == (200, b"\0\1\2")
 
 
-async def test_an_ended_batch_runs_no_further(site):
-    slow(site, events=200)
+async def test_an_ended_batch_starts_no_more_samples(site):
+    slow_engines(site, events=200)
     await site.submit(site.hosts[0], "b1", samples=20)
     await until(lambda: sum(len(each.arrivals) for each in site.engines) >= 8)
     for _ in range(2):
@@ -77,7 +77,7 @@
     assert sum(len(each.arrivals) for each in site.engines) == arrivals
 
 
-async def test_runs_resume_where_an_engine_broke_off(site):
+async def test_runs_resume_after_the_last_event_of_a_broken_stream(site):
     for engine in site.engines:
         engine.cut_after = [2, 1, 2]
     await site.submit(site.hosts[0], "b1")
@@ -85,14 +85,14 @@
 
 
 @pytest.mark.parametrize("fault", ["500", "full", "reset", "foreign"])
-async def test_a_sample_is_tried_again_after_a_failure(site, fault):
+async def test_a_sample_is_retried_after_a_failure(site, fault):
     site.engines[0].fail_next = [fault, fault]
     site.scorers[0].fail_next = [fault, fault]
     await site.submit(site.hosts[0], "b1")
     check_results(await site.read_all("b1", 8), "b1", 8)
 
 
-async def test_samples_leave_engines_that_do_not_begin_to_answer(site):
+async def test_samples_move_from_engines_that_do_not_begin_to_respond(site):
     for engine in site.engines:
         engine.fail_next = ["silent"] * 2
     await site.submit(site.hosts[0], "b1")
@@ -110,21 +110,21 @@
     assert runs == 3
 
 
-async def test_another_host_goes_on_when_the_owner_is_killed(site):
-    slow(site)
+async def test_another_host_takes_over_when_the_owner_is_killed(site):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     await until(lambda: any(engine.arrivals for engine in site.engines))
-    owner, others = split(site)
+    owner, others = owner_and_others(site)
     await owner.kill()
     results = await site.read_all("b1", 8, others)
     check_results(results, "b1", 8, events=20)
 
 
-async def test_a_frozen_owner_lists_nothing_after_it_wakes(site):
-    slow(site)
+async def test_a_frozen_owner_lists_no_results_after_it_resumes(site):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     await until(lambda: any(engine.arrivals for engine in site.engines))
-    owner, others = split(site)
+    owner, others = owner_and_others(site)
     owner.signal(FREEZE)
     results = await site.read_all("b1", 8, others)
     owner.signal(THAW)
@@ -134,11 +134,11 @@
 
 
 @pytest.mark.parametrize("mode", [GateMode.BUSY, GateMode.SILENT, GateMode.RESET])
-async def test_a_host_cut_from_the_store_is_replaced(site, mode):
-    slow(site)
+async def test_a_batch_is_taken_over_from_an_owner_without_the_store(site, mode):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     await until(lambda: any(engine.arrivals for engine in site.engines))
-    owner, others = split(site)
+    owner, others = owner_and_others(site)
     owner.gate.mode = mode
     results = await site.read_all("b1", 8, others)
     owner.gate.mode = GateMode.OPEN
@@ -146,8 +146,8 @@
     assert await site.read_all("b1", 8, limit_s=5) == results
 
 
-async def test_nothing_accepted_is_lost_when_all_hosts_lose_power(site):
-    slow(site)
+async def test_an_accepted_batch_survives_a_power_loss_of_all_hosts(site):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     for host in site.hosts:
         await host.kill()
@@ -157,10 +157,10 @@
 
 
 async def test_a_planned_stop_hands_the_batch_over(site):
-    slow(site, events=150)
+    slow_engines(site, events=150)
     await site.submit(site.hosts[0], "b1", samples=2)
     await until(lambda: any(engine.arrivals for engine in site.engines))
-    owner, others = split(site)
+    owner, others = owner_and_others(site)
     assert await owner.stop() == 0
     results = await site.read_all("b1", 2, others)
     check_results(results, "b1", 2, events=150)
@@ -169,7 +169,7 @@
     assert runs == 4
 
 
-async def test_lost_and_late_replies_of_the_store_double_nothing(site):
+async def test_lost_and_late_replies_of_the_store_duplicate_no_results(site):
     gate = site.hosts[0].gate
     gate.lose_replies = 2
     assert await site.submit(site.hosts[0], "b1") == 202
@@ -181,8 +181,8 @@
     check_results(results, "b1", 8)
 
 
-async def test_a_store_outage_delays_and_loses_nothing(site):
-    slow(site)
+async def test_a_store_outage_delays_results_and_loses_none(site):
+    slow_engines(site)
     await site.submit(site.hosts[0], "b1")
     await until(lambda: any(engine.arrivals for engine in site.engines))
     for host in site.hosts:
@@ -195,7 +195,7 @@
     check_results(await site.read_all("b1", 8), "b1", 8, events=20)
 
 
-async def test_a_batch_is_refused_while_the_store_is_away(site):
+async def test_a_batch_is_refused_while_the_store_is_unavailable(site):
     for host in site.hosts:
         host.gate.mode = GateMode.BUSY
     assert await site.submit(site.hosts[0], "b1") == 503
@@ -206,8 +206,8 @@
     assert not any(engine.arrivals for engine in site.engines)
 
 
-async def test_a_later_batch_goes_on_with_what_an_earlier_one_left(site):
-    slow(site, events=40)
+async def test_a_later_batch_resumes_the_samples_of_an_ended_one(site):
+    slow_engines(site, events=40)
     await site.submit(site.hosts[0], "b1", samples=2)
     await asyncio.sleep(1.0)
     assert await site.end(site.hosts[1], "b1") == 200
@@ -220,13 +220,13 @@
     assert all(number > 5 for number in resumed)
 
 
-async def test_a_new_owner_goes_on_with_what_a_killed_one_had_saved(site):
-    slow(site, events=80)
+async def test_a_new_owner_resumes_the_progress_that_a_killed_one_saved(site):
+    slow_engines(site, events=80)
     await site.submit(site.hosts[0], "b1", samples=2)
     await until(
         lambda: any(key[0] == "progress" for key in site.rows.rows), limit_s=5.0
     )
-    owner, others = split(site)
+    owner, others = owner_and_others(site)
     await owner.kill()
     results = await site.read_all("b1", 2, others)
     check_results(results, "b1", 2, events=80)
@@ -235,8 +235,8 @@
     assert all(number >= 10 for number in resumed)
 
 
-async def test_nothing_is_left_behind_by_a_batch_that_ended_whole(site):
-    slow(site, events=40)
+async def test_a_completed_batch_leaves_no_saved_progress(site):
+    slow_engines(site, events=40)
     await site.submit(site.hosts[0], "b1", samples=2)
     check_results(await site.read_all("b1", 2), "b1", 2, events=40)
     assert await site.end(site.hosts[1], "b1") == 200
@@ -244,7 +244,7 @@
 
 
 async def test_samples_follow_their_route_to_another_service(site):
-    # The engines are full until the configuration has moved the route.
+    # The engines are full until the new configuration has changed the route.
     for engine in site.engines:
         engine.fail_next = ["full"] * 40
     moved = await EngineStandIn("engine-moved", MODEL).start()
@@ -284,7 +284,7 @@
     assert [each["state"] for each in results] == ["aborted", "aborted"]
 
 
-async def test_another_batch_of_the_same_name_is_not_taken_for_accepted(site):
+async def test_a_different_batch_with_the_same_id_is_refused(site):
     assert await site.submit(site.hosts[0], "b1") == 202
     assert await site.submit(site.hosts[1], "b1", samples=3) == 400
     check_results(await site.read_all("b1", 8), "b1", 8)
--- a/tests/node/test_calls.py
+++ b/tests/node/test_calls.py
@@ -1,4 +1,4 @@
-"""Requests of callers: repeats, refusals, cancels, routes, planned stops."""
+"""Requests of callers: retries, refusals, cancellations, routes, planned stops."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return sum(each.ran[request_id] for each in site.scorers)
 
 
-async def test_an_answer_is_passed_on_unchanged(site):
+async def test_a_response_is_forwarded_unchanged(site):
     status, headers, body = await call(site, "/score/1?a=%20b")
     assert (status, body) == (200, b"answer to body")
     assert headers["X-Response-Stamp"].endswith(".q1")
@@ -53,7 +53,7 @@
     assert runs(site) == 1
 
 
-async def test_a_request_goes_elsewhere_if_it_was_surely_not_run(site):
+async def test_a_request_goes_to_another_endpoint_if_it_was_not_run(site):
     site.scorers[0].fail_next = ["full"]
     site.scorers[1].fail_next = ["full"]
     status, _, _ = await call(site, "/once/1")
@@ -61,7 +61,7 @@
     assert runs(site) == 1
 
 
-async def test_a_refusal_says_when_to_come_back_and_is_true(site):
+async def test_a_refused_request_has_a_retry_delay_and_does_not_run(site):
     for scorer in site.scorers:
         scorer.fail_next = ["full"] * 20
     status, headers, _ = await call(site, "/once/1")
@@ -91,14 +91,14 @@
     assert not leaving.arrivals
 
 
-async def test_an_address_that_another_endpoint_took_runs_nothing(site):
+async def test_an_endpoint_at_the_address_of_another_one_runs_nothing(site):
     site.scorers[0].id = "someone-else"
     for number in range(10):
         assert (await call(site, request_id=f"q{number}"))[0] == 200
     assert not site.scorers[0].arrivals
 
 
-async def test_endpoints_stop_working_for_a_caller_who_left(site):
+async def test_endpoints_stop_work_when_the_caller_disconnects(site):
     for scorer in site.scorers:
         scorer.delay_s = 5.0
     with pytest.raises(asyncio.TimeoutError):
@@ -107,7 +107,7 @@
     await until(lambda: any(each.broken_off["q1"] for each in site.scorers), 0.6)
 
 
-async def test_a_route_is_answered_on_time(site):
+async def test_a_request_ends_at_the_timeout_of_its_route(site):
     for scorer in site.scorers:
         scorer.delay_s = 5.0
     began = asyncio.get_running_loop().time()
@@ -139,7 +139,7 @@
     await until(lambda: runs(site) == 1)
     stopped = asyncio.ensure_future(site.hosts[0].stop())
     assert (await asked)[0] == 200
-    # The balancer still sends new connections for two questions.
+    # The load balancer still sends new connections until two checks have failed.
     for scorer in site.scorers:
         scorer.delay_s = 0.0
     assert not await site.hosts[0].is_ready()
@@ -147,7 +147,7 @@
     assert await stopped == 0
 
 
-async def test_a_head_over_the_bound_is_refused_and_the_host_stays_up(site):
+async def test_a_request_head_above_the_limit_is_refused_and_the_host_stays_up(site):
     headers = {"X-Request-Id": "q1", "X-Large": "x" * 70000}
     status, _, _ = await site.call(site.hosts[0], "POST", "/score/1", headers=headers)
     assert status == 400
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -1,15 +1,14 @@
-"""A request under which endpoints end is not sent on and on.
-
-All endpoints of a service ended together, again and again, and came back after some
-seconds. The same request came each time, under another identifier, at another host:
-callers repeat what was not answered. Each attempt took it for a new request, since what
-is kept of a failed attempt says something of its endpoint and nothing of the request.
-What proved it: brought about here, one request ends the endpoints of a service in the
-same series, at most one attempt long, as often as it comes; the hosts' lines bear one
-content under all of the attempts' identifiers. Left alone, the endpoints do not end.
-
-A request is blameless as long as its endpoints live: a connection that breaks, a
-planned stop and a slow endpoint are no crash.
+"""A request that crashes endpoints is refused after a few crashes.
+
+The tests guard against a failure in which one request crashed all endpoints of a
+service, each time that they had restarted. Callers repeat a request that gets no
+response, with a new ID and at another host. Hosts recorded failed attempts by endpoint
+and not by request, so they forwarded each repetition as a new request. Log lines show
+the same content under the IDs of all attempts, and without the request the endpoints do
+not crash.
+
+A request whose endpoints keep running is not refused: a broken connection, a planned
+stop and a slow endpoint are not crashes.
 """
 
 import asyncio
@@ -30,16 +29,18 @@
 from outside.store import GateMode
 from outside.trainer_calls import submission
 
-MOST_CRASHES = 3
-"""Endpoints that one request may end."""
+MAX_CRASH_COUNT = 3
+"""Number of endpoints that one request may crash."""
 
-VISITS = 6
+VISIT_COUNT = 6
+"""Number of times that the hosts receive the request."""
 
-AT_ONCE_S = 0.4
+IMMEDIATE_REPLY_S = 0.4
+"""Time in which a host answers a request without forwarding it."""
 
 
 @pytest.fixture
-async def services():
+async def make_service():
     made = []
 
     def make(*arguments, **options):
@@ -52,17 +53,17 @@
 
 
 @pytest.fixture
-async def desk(site, services):
-    return services(site, SCORERS, await three_scorers(site))
+async def scorer_service(site, make_service):
+    return make_service(site, SCORERS, await three_scorers(site))
 
 
-numbers = itertools.count()
+request_numbers = itertools.count()
 
 
 async def ask(
     site, host=0, path="/score/1", body=CRASHING, time_left="1500", **headers
 ):
-    name = f"q{next(numbers)}"
+    name = f"q{next(request_numbers)}"
     return await site.call(
         site.hosts[host % len(site.hosts)],
         "POST",
@@ -72,8 +73,8 @@
     )
 
 
-async def visit(site, service, path="/score/1", visits=VISITS):
-    """Ask at the hosts in turn, each time before a whole service; return statuses."""
+async def visit_hosts(site, service, path="/score/1", visits=VISIT_COUNT):
+    """Send the request to the hosts in turn, each time with all endpoints running."""
     statuses = []
     for number in range(visits):
         await until(lambda: service.is_whole)
@@ -83,13 +84,15 @@
     return statuses
 
 
-async def test_a_request_that_crashes_endpoints_is_refused_at_every_host(site, desk):
-    statuses = await visit(site, desk)
-    assert desk.runs <= MOST_CRASHES
+async def test_a_request_that_crashes_endpoints_is_refused_at_every_host(
+    site, scorer_service
+):
+    statuses = await visit_hosts(site, scorer_service)
+    assert scorer_service.runs <= MAX_CRASH_COUNT
     assert statuses[-3:] == [503] * 3
     began = time.monotonic()
     status, headers, body = await ask(site)
-    assert time.monotonic() - began < AT_ONCE_S
+    assert time.monotonic() - began < IMMEDIATE_REPLY_S
     assert (status, body) == (503, b"not run: crashes_endpoints\n")
     assert float(headers["Retry-After"]) > 0
     lines = [
@@ -102,39 +105,39 @@
 
 
 @pytest.mark.parametrize("path", ["/score/1", "/once/1", "/stream/1"])
-async def test_so_is_one_whose_caller_leaves_before_the_end(site, services, path):
+async def test_so_is_one_whose_caller_leaves_before_the_end(site, make_service, path):
     service = (
-        services(site, ENGINES, site.engines)
+        make_service(site, ENGINES, site.engines)
         if path == "/stream/1"
-        else services(site, SCORERS, await three_scorers(site))
+        else make_service(site, SCORERS, await three_scorers(site))
     )
     for endpoint in service.endpoints:
-        # Some endpoints go on with a request whose connection closed.
+        # Some endpoints continue a request whose connection was closed.
         endpoint.crash_after_s = 0.1
-    for number in range(VISITS):
+    for number in range(VISIT_COUNT):
         await until(lambda: service.is_whole)
         await asyncio.sleep(0.5)
         with suppress(TimeoutError):
             async with asyncio.timeout(0.05):
                 await ask(site, number, path)
         await asyncio.sleep(0.6)
-    assert service.runs <= MOST_CRASHES
+    assert service.runs <= MAX_CRASH_COUNT
 
 
 @pytest.mark.parametrize("path", ["/once/1", "/stream/1", "/resumable/1"])
-async def test_so_is_one_of_another_kind(site, services, path):
+async def test_so_is_one_of_another_kind(site, make_service, path):
     service = (
-        services(site, SCORERS, await three_scorers(site))
+        make_service(site, SCORERS, await three_scorers(site))
         if path == "/once/1"
-        else services(site, ENGINES, site.engines)
+        else make_service(site, ENGINES, site.engines)
     )
-    await visit(site, service, path)
-    assert service.runs <= MOST_CRASHES
+    await visit_hosts(site, service, path)
+    assert service.runs <= MAX_CRASH_COUNT
 
 
 @pytest.mark.parametrize("events_before", [None, 1])
-async def test_so_is_a_sample(site, services, events_before):
-    engines = services(site, ENGINES, site.engines)
+async def test_so_is_a_sample(site, make_service, events_before):
+    engines = make_service(site, ENGINES, site.engines)
     for engine in site.engines:
         engine.crash_after_events = events_before
         engine.events = 12
@@ -143,103 +146,110 @@
     await site.ask(site.hosts[0], submission("b1", json.dumps(document).encode()))
     assert len(await site.read_all("b1", 7)) == 7
     await asyncio.sleep(6.0)
-    assert engines.runs <= MOST_CRASHES
+    assert engines.runs <= MAX_CRASH_COUNT
 
 
-async def test_so_is_a_reward_call(site, services):
-    scorers = services(site, SCORERS, await three_scorers(site))
+async def test_so_is_a_reward_call(site, make_service):
+    scorers = make_service(site, SCORERS, await three_scorers(site))
     document = batch("b1")
     document["items"][0]["scorer"]["body"] = base64.b64encode(CRASHING).decode()
     await site.ask(site.hosts[0], submission("b1", json.dumps(document).encode()))
     assert len(await site.read_all("b1", 7)) == 7
     await asyncio.sleep(4.0)
-    assert scorers.runs <= MOST_CRASHES
+    assert scorers.runs <= MAX_CRASH_COUNT
 
 
-async def test_endpoints_that_come_back_under_their_names_are_counted(site, services):
-    desk = services(site, SCORERS, await three_scorers(site), by_name=True)
+async def test_endpoints_that_come_back_under_their_names_are_counted(
+    site, make_service
+):
+    scorer_service = make_service(
+        site, SCORERS, await three_scorers(site), by_name=True
+    )
     await asyncio.sleep(0.5)
-    await visit(site, desk)
-    assert desk.runs <= MOST_CRASHES
+    await visit_hosts(site, scorer_service)
+    assert scorer_service.runs <= MAX_CRASH_COUNT
 
 
-async def test_hosts_that_are_told_by_another_host_know_of_it(tmp_path, services):
+async def test_hosts_that_are_told_by_another_host_know_of_it(tmp_path, make_service):
     site = Site(tmp_path, min_readers=2)
     try:
         await site.start()
         await asyncio.sleep(1.5)
-        desk = services(site, SCORERS, await three_scorers(site))
-        await visit(site, desk)
-        assert desk.runs <= MOST_CRASHES
+        scorer_service = make_service(site, SCORERS, await three_scorers(site))
+        await visit_hosts(site, scorer_service)
+        assert scorer_service.runs <= MAX_CRASH_COUNT
     finally:
         await site.stop()
 
 
-async def test_what_is_known_of_it_outlasts_all_hosts(site, desk):
-    await visit(site, desk, visits=2)
-    assert desk.runs == MOST_CRASHES
+async def test_what_is_known_of_it_outlasts_all_hosts(site, scorer_service):
+    await visit_hosts(site, scorer_service, visits=2)
+    assert scorer_service.runs == MAX_CRASH_COUNT
     for host in site.hosts:
         await host.kill()
     for host in site.hosts:
         await host.start()
     await site.wait_ready()
-    assert await visit(site, desk, visits=3) == [503] * 3
-    assert desk.runs == MOST_CRASHES
+    assert await visit_hosts(site, scorer_service, visits=3) == [503] * 3
+    assert scorer_service.runs == MAX_CRASH_COUNT
 
 
-async def test_a_host_without_the_store_refuses_what_it_saw_itself(site, desk):
+async def test_a_host_without_the_store_refuses_what_it_saw_itself(
+    site, scorer_service
+):
     await asyncio.sleep(0.5)
     for host in site.hosts:
         host.gate.mode = GateMode.BUSY
     for _ in range(3):
-        await until(lambda: desk.is_whole)
+        await until(lambda: scorer_service.is_whole)
         await ask(site, host=0)
     for host in site.hosts:
         host.gate.mode = GateMode.OPEN
-    assert desk.runs <= MOST_CRASHES
+    assert scorer_service.runs <= MAX_CRASH_COUNT
     await asyncio.sleep(2.0)
-    # What the host could not write then is known to the others now.
+    # The host has now written what it could not write during the outage.
     assert (await ask(site, host=1))[0] == 503
 
 
-async def test_requests_beside_it_are_served(site, desk):
+async def test_requests_beside_it_are_served(site, scorer_service):
     for scorer in site.scorers:
         scorer.delay_s = 0.03
     statuses = []
 
     async def beside(number):
-        # A caller repeats once, at another host, as the one of the crash does.
+        # The caller retries once at another host, like that of the crashing request.
         body = f"beside {number}".encode()
         status, _, _ = await ask(site, number, body=body)
         if status != 200:
-            await until(lambda: desk.is_whole)
+            await until(lambda: scorer_service.is_whole)
             await asyncio.sleep(0.6)
             status, _, _ = await ask(site, number + 1, body=body)
         statuses.append(status)
 
     for _ in range(3):
-        await until(lambda: desk.is_whole)
+        await until(lambda: scorer_service.is_whole)
         await asyncio.sleep(0.5)
         calls = [beside(number) for number in range(6)]
         await asyncio.gather(ask(site), *calls)
-    # One try more tells it from a request that was at the very same ends.
-    assert desk.runs <= MOST_CRASHES + 1
+    # Another request may have been in progress at each of the crashes. One more
+    # attempt shows which of them crashes endpoints.
+    assert scorer_service.runs <= MAX_CRASH_COUNT + 1
     assert statuses == [200] * 18
 
 
-async def test_a_key_that_ran_is_never_told_that_it_did_not(tmp_path, services):
+async def test_a_key_that_ran_is_never_told_that_it_did_not(tmp_path, make_service):
     site = Site(tmp_path, rpc=RPC)
     try:
         await site.start()
         await apply(site)
-        desk = services(site, SCORERS, await three_scorers(site))
+        scorer_service = make_service(site, SCORERS, await three_scorers(site))
         keys = [new_key() for _ in range(5)]
         failures = []
         for key in keys:
-            await until(lambda: desk.is_whole)
+            await until(lambda: scorer_service.is_whole)
             await asyncio.sleep(0.5)
             failures.append(await _failure(site, key))
-        assert desk.runs == MOST_CRASHES
+        assert scorer_service.runs == MAX_CRASH_COUNT
         kinds = [failure.kind for failure in failures]
         assert kinds[:3] == [FailureKind.OUTCOME_UNKNOWN] * 3
         assert kinds[3:] == [FailureKind.NOT_RUN] * 2
@@ -253,9 +263,9 @@
 
 async def _failure(site, key):
     async with client(site, timeout_s=2.0) as caller:
-        with pytest.raises(BankrudderError) as told:
+        with pytest.raises(BankrudderError) as caught:
             await caller.call("desk", CRASHING, key=key)
-        return told.value.failure
+        return caught.value.failure
 
 
 BLAMELESS = b"blameless"
@@ -285,10 +295,10 @@
     assert (await ask(site, body=BLAMELESS))[0] == 200
 
 
-async def test_a_request_cut_by_planned_stops_is_not_refused(site, services):
-    desk = services(site, SCORERS, await three_scorers(site))
+async def test_a_request_cut_by_planned_stops_is_not_refused(site, make_service):
+    scorer_service = make_service(site, SCORERS, await three_scorers(site))
     for number in range(4):
-        await until(lambda: desk.is_whole)
+        await until(lambda: scorer_service.is_whole)
         await asyncio.sleep(0.5)
         for scorer in site.scorers:
             scorer.delay_s = 1.0
@@ -303,26 +313,28 @@
         for scorer in site.scorers:
             scorer.crash()
         assert (await asked)[0] == 502
-    await until(lambda: desk.is_whole)
+    await until(lambda: scorer_service.is_whole)
     await asyncio.sleep(0.5)
     for scorer in site.scorers:
         scorer.delay_s = 0.0
     assert (await ask(site, path="/once/1", body=BLAMELESS))[0] == 200
 
 
-async def test_a_request_that_was_answered_is_not_held_to_what_was_before(site, desk):
-    # Twice it is there when an endpoint ends, again and again, and is answered between.
+async def test_a_request_that_was_answered_is_not_held_to_what_was_before(
+    site, scorer_service
+):
+    # Two crashes of endpoints during the request, then a response, three times over.
     for number in range(3):
         for _ in range(2):
-            await until(lambda: desk.is_whole)
+            await until(lambda: scorer_service.is_whole)
             await asyncio.sleep(0.5)
-            await _ends_under(site, number)
-        await until(lambda: desk.is_whole)
+            await _crash_during_request(site, number)
+        await until(lambda: scorer_service.is_whole)
         await asyncio.sleep(0.5)
         assert (await ask(site, number, "/once/1", body=BLAMELESS))[0] == 200
 
 
-async def _ends_under(site, host):
+async def _crash_during_request(site, host):
     for scorer in site.scorers:
         scorer.delay_s = 1.0
     asked = asyncio.ensure_future(
@@ -336,8 +348,10 @@
     assert (await asked)[0] == 502
 
 
-async def test_a_request_that_many_make_does_not_pay_for_a_common_end(site, desk):
-    # All endpoints end at once, each with the same popular request in progress.
+async def test_a_request_that_many_make_does_not_pay_for_a_common_end(
+    site, scorer_service
+):
+    # All endpoints crash at once, each with the same common request in progress.
     await asyncio.sleep(0.5)
     for scorer in site.scorers:
         scorer.delay_s = 1.0
@@ -347,13 +361,13 @@
         )
         for host in range(9)
     ]
-    # One that is still on its way finds nobody, and is truly told that it was not run.
+    # A request that has not arrived yet would correctly be answered as not run.
     await until(lambda: sum(each.busy for each in site.scorers) == len(asked))
     for scorer in site.scorers:
         scorer.crash()
         scorer.delay_s = 0.0
     assert {(await each)[0] for each in asked} == {502}
-    await until(lambda: desk.is_whole)
+    await until(lambda: scorer_service.is_whole)
     await asyncio.sleep(0.5)
     for host in range(3):
         assert (await ask(site, host, "/once/1", body=BLAMELESS))[0] == 200
--- a/tests/node/test_explain.py
+++ b/tests/node/test_explain.py
@@ -1,4 +1,4 @@
-"""The page for engineers on call says what the logs really say."""
+"""The operations page names log lines and metrics that the code really writes."""
 
 import asyncio
 import re
--- a/tests/node/test_fault_table.py
+++ b/tests/node/test_fault_table.py
@@ -1,6 +1,7 @@
-"""Every fault at every step of a batch's life and of an order's life.
+"""Each fault at each step of the life cycle of a batch and of an order.
 
-The cells are made from both lists; each is judged by what trainers and endpoints saw.
+Each test runs one fault at all steps. The observations of trainers and endpoints show
+whether a rule is violated.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 FAULT_S = 2.0
 LIMIT_S = 20.0
 
-GONE = (aiohttp.ClientError, TimeoutError, OSError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 async def kill(site, host):
@@ -96,8 +97,8 @@
 
 
 @asynccontextmanager
-async def started(folder):
-    """Start a site of its own for one cell."""
+async def running_site(folder):
+    """Start a separate site for one fault at one step."""
     folder.mkdir()
     site = Site(folder, hosts=3, engines=2, events=EVENTS)
     try:
@@ -111,7 +112,7 @@
 
 
 def owner_of(site):
-    """Return the host that owns the batch, the first one if nobody does."""
+    """Return the host that owns the batch, None without an owner."""
     for key, row in site.rows.rows.items():
         if key[0] == "owners":
             name = json.loads(row[1])["host"]
@@ -119,12 +120,12 @@
     return None
 
 
-class OneBatch:
-    """A trainer with one batch, which tries each call until it is answered."""
+class BatchClient:
+    """A trainer with one batch, which retries each call until it succeeds."""
 
     def __init__(self, site):
         self._site = site
-        self._turn = 0
+        self._call_count = 0
         document = batch("b1", SAMPLES)
         self._body = json.dumps(document).encode()
         ids = [item["id"] for item in document["items"]]
@@ -165,17 +166,17 @@
         raise AssertionError(f"no {wanted} in time")
 
     async def _ask(self, call):
-        self._turn += 1
-        host = self._site.hosts[self._turn % len(self._site.hosts)]
+        self._call_count += 1
+        host = self._site.hosts[self._call_count % len(self._site.hosts)]
         try:
             async with asyncio.timeout(1.5):
                 return await self._site.ask(host, call)
-        except GONE:
+        except CONNECTION_ERRORS:
             return 0, b""
 
 
-async def reach(step, site, trainer):
-    """Bring the batch to a step; return what still has to be waited for."""
+async def advance_to(step, site, trainer):
+    """Advance the batch to a step; return the call that is still in progress."""
     submitting = asyncio.ensure_future(trainer.submit())
     if step == "submitted":
         return submitting
@@ -189,11 +190,11 @@
     return submitting
 
 
-async def batch_cell(folder, fault, step):
-    """Return what is wrong with one cell."""
-    async with started(folder / step) as site:
-        trainer = OneBatch(site)
-        pending = await reach(step, site, trainer)
+async def batch_violations(folder, fault, step):
+    """Return the rules that a batch violates under a fault at a step."""
+    async with running_site(folder / step) as site:
+        trainer = BatchClient(site)
+        pending = await advance_to(step, site, trainer)
         host = owner_of(site) or site.hosts[0]
         await asyncio.gather(fault(site, host), pending)
         if step != "ending":
@@ -206,9 +207,9 @@
         return violations(history, EVENTS)
 
 
-async def order_cell(folder, fault, step):
-    """Return what is wrong with one cell."""
-    async with started(folder / step) as site:
+async def order_violations(folder, fault, step):
+    """Return the rules that orders violate under a fault at a step."""
+    async with running_site(folder / step) as site:
         for engine in site.engines:
             engine.load_s = 0.4
         site.name_version(2)
@@ -238,8 +239,8 @@
     ]
 
 
-async def table_row(cell, folder, fault, steps):
-    """Play one fault at every step, side by side; return the cells that broke."""
+async def row_violations(cell, folder, fault, steps):
+    """Run one fault at all steps concurrently; return the violations by step."""
     outcomes = await asyncio.gather(
         *(cell(folder, FAULTS[fault], step) for step in steps), return_exceptions=True
     )
@@ -249,10 +250,10 @@
 @pytest.mark.faults
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_a_batch_survives_a_fault_at_every_step(tmp_path, fault):
-    assert await table_row(batch_cell, tmp_path, fault, BATCH_STEPS) == {}
+    assert await row_violations(batch_violations, tmp_path, fault, BATCH_STEPS) == {}
 
 
 @pytest.mark.faults
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_orders_survive_a_fault_at_every_step(tmp_path, fault):
-    assert await table_row(order_cell, tmp_path, fault, ORDER_STEPS) == {}
+    assert await row_violations(order_violations, tmp_path, fault, ORDER_STEPS) == {}
--- a/tests/node/test_feeds.py
+++ b/tests/node/test_feeds.py
@@ -1,4 +1,4 @@
-"""One host of a data centre reads the store for the others, and may be lost."""
+"""One host of a data centre reads the store for the others, until it is lost."""
 
 import asyncio
 
@@ -16,12 +16,12 @@
 from outside.store import GateMode
 
 IN_FORCE_S = 2.0
-"""Time after which a change must be in force on every host."""
+"""Time within which a change must be in force on each host."""
 
 
 @pytest.fixture
 async def site(tmp_path):
-    """Five hosts, one of which reads for the other four."""
+    """Start five hosts, one of which reads the store for the other four."""
     site = Site(tmp_path, hosts=5, min_readers=3)
     try:
         await site.start()
@@ -42,7 +42,7 @@
 
 
 def reader_of(site):
-    """Return the host that reads for the others once all others subscribe."""
+    """Return the reader if all other hosts subscribe to it, else None."""
     roles = {host: role_of(host) for host in site.hosts if host.is_running}
     readers = [host for host, role in roles.items() if role == "reader"]
     others = [role for role in roles.values() if role != "reader"]
@@ -51,7 +51,7 @@
     return readers[0]
 
 
-def followed(host):
+def feed_reads(host):
     return [path for _, path, _ in host.gate.calls if path.endswith("rows-feed")]
 
 
@@ -67,19 +67,19 @@
     }
 
 
-async def change(site, revision):
-    """Write a configuration; check that it is in force everywhere in time."""
+async def apply_configuration(site, revision):
+    """Write a configuration; check that it is in force on all hosts in time."""
     site.rows.put("op", "config", configuration(revision))
     await until(lambda: set(revisions(site).values()) == {revision}, IN_FORCE_S)
 
 
-async def test_subscribers_hardly_read_and_miss_nothing(site):
+async def test_subscribers_read_little_and_miss_no_change(site):
     reader = reader_of(site)
-    before = {host: len(followed(host)) for host in site.hosts}
+    before = {host: len(feed_reads(host)) for host in site.hosts}
     for revision in (2, 3, 4):
-        await change(site, revision)
+        await apply_configuration(site, revision)
         await asyncio.sleep(0.5)
-    reads = {host: len(followed(host)) - before[host] for host in site.hosts}
+    reads = {host: len(feed_reads(host)) - before[host] for host in site.hosts}
     assert reads[reader] >= 10
     assert all(count <= 4 for host, count in reads.items() if host is not reader)
 
@@ -89,7 +89,7 @@
     check_results(await site.read_all("b1", 8), "b1", 8)
 
 
-async def test_a_draining_endpoint_is_left_by_all(site):
+async def test_no_host_sends_requests_to_a_draining_endpoint(site):
     scorer = site.scorers[0]
     document = {**scorer.document(SCORERS), "state": "draining"}
     site.rows.put("servers", scorer.id, document)
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze", "cut", "stop"])
-async def test_the_loss_of_the_reader_delays_nothing(site, fault):
+async def test_the_loss_of_the_reader_delays_no_change(site, fault):
     reader = reader_of(site)
     match fault:
         case "kill":
@@ -135,4 +135,4 @@
     first = reader_of(site)
     await first.kill()
     await until(lambda: reader_of(site) not in (None, first), 15.0)
-    await change(site, 2)
+    await apply_configuration(site, 2)
--- a/tests/node/test_observing.py
+++ b/tests/node/test_observing.py
@@ -1,4 +1,4 @@
-"""What operators see of a host: metrics, log lines, and errors of settings."""
+"""What operators see of a host: metrics, log lines, and errors in settings."""
 
 import asyncio
 import json
@@ -42,14 +42,14 @@
     assert failed[0]["endpoint"].startswith("scorer-")
 
 
-async def test_the_life_of_a_host_is_logged(site):
+async def test_start_and_stop_of_a_host_are_logged(site):
     assert await site.hosts[0].stop() == 0
     events = [line["event"] for line in site.hosts[0].log_lines()]
     for event in ("node: started", "node: configuration in force", "node: stopped"):
         assert event in events
 
 
-async def test_settings_are_reloaded_and_wrong_ones_passed_over(site):
+async def test_settings_are_reloaded_and_invalid_ones_ignored(site):
     host = site.hosts[0]
     host.settings_path.write_text("{}")
     host.signal(HANG_UP)
@@ -73,7 +73,9 @@
         ({"grace_s": "long"}, "grace_s"),
     ],
 )
-async def test_wrong_settings_are_named_and_nothing_starts(tmp_path, changes, field):
+async def test_invalid_settings_are_reported_and_the_daemon_exits(
+    tmp_path, changes, field
+):
     settings = {
         "host": "h",
         "data_centre": "north",
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their name, before real daemons."""
+"""Daemons with endpoints that restart under the same ID."""
 
 import asyncio
 import time
@@ -6,46 +6,46 @@
 from outside.site import ENGINES, SCORERS, check_results, until
 
 CRASH_LIMIT_S = 1.2
-"""Below every timeout that a request would otherwise wait for."""
+"""Limit that is shorter than any timeout that could end the request otherwise."""
 
 
-def list_again(site, endpoint, service):
+def put_entry(site, endpoint, service):
     site.rows.put("servers", endpoint.id, endpoint.document(service))
 
 
-async def load_in_first_runs(site):
-    """Have all engines load version 2 in runs whose birth is known."""
+async def load_version_2(site):
+    """Let all engines load version 2 in runs whose birth is known."""
     for engine in site.engines:
         engine.born = 5
-        list_again(site, engine, ENGINES)
+        put_entry(site, engine, ENGINES)
     site.name_version(2)
     await until(lambda: all(engine.version == 2 for engine in site.engines))
 
 
-async def test_samples_go_on_at_engines_that_started_again(site):
-    await load_in_first_runs(site)
-    # The restart is within a heartbeat: the entry never vanishes.
+async def test_samples_continue_on_restarted_engines(site):
+    await load_version_2(site)
+    # The restart is shorter than a heartbeat, so the entry is never removed.
     for engine in site.engines:
         engine.start_again(9)
-        list_again(site, engine, ENGINES)
+        put_entry(site, engine, ENGINES)
     await site.submit(site.hosts[0], "b1", min_version=2)
     check_results(await site.read_all("b1", 8), "b1", 8)
     assert [engine.orders_taken for engine in site.engines] == [1, 1]
 
 
-async def test_a_restart_that_only_the_engine_itself_tells_of(site):
-    await load_in_first_runs(site)
+async def test_a_restart_that_only_the_engine_itself_reports(site):
+    await load_version_2(site)
     for engine in site.engines:
         engine.start_again(9)
     site.name_version(3)
     await until(lambda: all(engine.version == 3 for engine in site.engines))
 
 
-async def test_a_call_that_may_run_once_is_unknown_when_its_endpoint_starts_again(site):
+async def test_a_call_that_may_run_once_has_an_unknown_outcome_after_a_restart(site):
     for scorer in site.scorers:
         scorer.born = 5
         scorer.fail_next = ["silent"]
-        list_again(site, scorer, SCORERS)
+        put_entry(site, scorer, SCORERS)
     await asyncio.sleep(0.5)
     began = time.monotonic()
     asked = asyncio.ensure_future(
@@ -59,19 +59,19 @@
     await until(lambda: any(scorer.ran["once-1"] for scorer in site.scorers))
     for scorer in site.scorers:
         scorer.start_again(9)
-        list_again(site, scorer, SCORERS)
+        put_entry(site, scorer, SCORERS)
     status, _, _ = await asked
     assert status == 502
     assert time.monotonic() - began < CRASH_LIMIT_S
     assert sum(scorer.ran["once-1"] for scorer in site.scorers) == 1
 
 
-async def test_a_call_that_may_be_repeated_goes_elsewhere_at_once(site):
+async def test_a_repeatable_call_is_sent_to_another_endpoint_after_a_restart(site):
     silent, _ = site.scorers
     for scorer in site.scorers:
         scorer.born = 5
         scorer.fail_next = ["silent"]
-        list_again(site, scorer, SCORERS)
+        put_entry(site, scorer, SCORERS)
     await asyncio.sleep(0.5)
     asked = asyncio.ensure_future(
         site.call(
@@ -82,19 +82,19 @@
             headers={"X-Request-Id": "again-1", "X-Request-Deadline": "5000"},
         )
     )
-    # Both are asked, the second one as a hedge, and neither answers.
+    # Both get the request, the second one as a hedge, and neither responds.
     await until(lambda: all(scorer.ran["again-1"] for scorer in site.scorers))
     silent.start_again(9)
-    list_again(site, silent, SCORERS)
+    put_entry(site, silent, SCORERS)
     status, _, body = await asked
     assert (status, body) == (200, b"answer to x")
 
 
-async def test_an_unreadable_entry_names_no_endpoint_and_the_others_hold(site):
-    spoilt, sound = site.scorers
-    document = spoilt.document(SCORERS)
+async def test_an_unreadable_entry_lists_no_endpoint_and_affects_no_others(site):
+    unreadable, valid = site.scorers
+    document = unreadable.document(SCORERS)
     del document["zone"]
-    site.rows.put("servers", spoilt.id, document)
+    site.rows.put("servers", unreadable.id, document)
     site.rows.put("servers", "stranger", {**document, "state": "warming"})
     site.rows.commit([], [(("servers", "", "noise"), b"\xff\x00")], [])
     await asyncio.sleep(0.5)
@@ -106,17 +106,17 @@
             headers={"X-Request-Id": f"c{number}", "X-Request-Deadline": "2000"},
         )
         assert status == 200
-    assert not spoilt.arrivals
-    assert len(sound.arrivals) >= 12
+    assert not unreadable.arrivals
+    assert len(valid.arrivals) >= 12
     lines = [
         line["endpoint"]
         for line in site.hosts[0].log_lines()
         if line["event"] == "fleet: entry not understood"
     ]
-    assert sorted(lines) == sorted([spoilt.id, "stranger", "noise"])
-    list_again(site, spoilt, SCORERS)
+    assert sorted(lines) == sorted([unreadable.id, "stranger", "noise"])
+    put_entry(site, unreadable, SCORERS)
     await asyncio.sleep(0.5)
-    sound.delay_s = spoilt.delay_s = 0.1
+    valid.delay_s = unreadable.delay_s = 0.1
     calls = [
         site.call(
             site.hosts[0],
@@ -127,12 +127,12 @@
         for number in range(12, 24)
     ]
     await asyncio.gather(*calls)
-    assert spoilt.arrivals
+    assert unreadable.arrivals
 
 
-async def test_an_engine_of_a_service_that_nobody_named_gets_no_orders(site):
+async def test_an_engine_of_an_unknown_service_gets_no_orders(site):
     stray = site.engines[0]
-    list_again(site, stray, "nobody-named-this")
+    put_entry(site, stray, "nobody-named-this")
     await asyncio.sleep(0.5)
     site.name_version(2)
     await until(lambda: site.engines[1].version == 2)
--- a/tests/node/test_start.py
+++ b/tests/node/test_start.py
@@ -1,4 +1,4 @@
-"""What the daemon's program does before its modules are there."""
+"""What the daemon's program does before it imports its modules."""
 
 import json
 import os
@@ -33,12 +33,12 @@
     return json.loads(output)
 
 
-def test_no_authorities_are_read_and_tls_still_asks_for_one():
+def test_no_ca_certificates_are_read_and_tls_still_requires_one():
     count, is_verified, _ = probe()
     assert count == 0
     assert is_verified
 
 
-def test_the_variable_is_left_as_it_was():
+def test_ssl_cert_file_is_left_unchanged():
     assert probe()[2] is None
     assert probe(SSL_CERT_FILE="own.pem")[2] == "own.pem"
--- a/tests/node/test_store_reachability.py
+++ b/tests/node/test_store_reachability.py
@@ -1,4 +1,4 @@
-"""Hosts that the store turns away leave new requests to the others."""
+"""Hosts that the store rejects report that they are not ready."""
 
 import asyncio
 import time
@@ -23,32 +23,34 @@
 
 
 @pytest.mark.parametrize("mode", [GateMode.BUSY, GateMode.RESET, GateMode.LIMITED])
-async def test_a_host_that_is_turned_away_is_not_ready_until_it_is_served(site, mode):
-    cut, *others = site.hosts
-    cut.gate.mode = mode
-    await until(lambda: is_unready(cut), 3.0)
+async def test_a_host_that_the_store_rejects_is_not_ready_until_it_is_served(
+    site, mode
+):
+    cut_host, *others = site.hosts
+    cut_host.gate.mode = mode
+    await until(lambda: is_unready(cut_host), 3.0)
     for host in others:
         assert await host.is_ready()
     assert await site.submit(others[0], "b1") == 202
-    cut.gate.mode = GateMode.OPEN
-    await until(cut.is_ready, 3.0)
+    cut_host.gate.mode = GateMode.OPEN
+    await until(cut_host.is_ready, 3.0)
 
 
-async def test_a_short_failure_is_over_before_the_balancer_asks_twice(site):
-    cut = site.hosts[0]
-    cut.gate.mode = GateMode.BUSY
+async def test_a_host_is_ready_again_soon_after_a_short_failure(site):
+    cut_host = site.hosts[0]
+    cut_host.gate.mode = GateMode.BUSY
     await asyncio.sleep(0.2)
-    cut.gate.mode = GateMode.OPEN
+    cut_host.gate.mode = GateMode.OPEN
     await asyncio.sleep(0.9)
-    assert await cut.is_ready()
+    assert await cut_host.is_ready()
 
 
 @pytest.mark.parametrize("mode", [GateMode.BUSY, GateMode.LIMITED])
-async def test_a_batch_is_refused_soon_where_the_store_is_away_for_the_host(site, mode):
-    cut, other = site.hosts[:2]
-    cut.gate.mode = mode
-    await until(lambda: is_unready(cut), 3.0)
+async def test_a_host_without_the_store_refuses_a_batch_soon(site, mode):
+    cut_host, other = site.hosts[:2]
+    cut_host.gate.mode = mode
+    await until(lambda: is_unready(cut_host), 3.0)
     began = time.monotonic()
-    assert await site.submit(cut, "b1") == 503
+    assert await site.submit(cut_host, "b1") == 503
     assert time.monotonic() - began < 1.5
     assert await site.submit(other, "b1") == 202
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams of callers: forwarded as they come, resumed only where that is allowed."""
+"""Streams to callers: forwarded event by event, resumed only if the route allows it."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
     return await site.call(site.hosts[0], "POST", path, body=b"x", headers=headers)
 
 
-def whole(start=0, count=4):
+def stream_body(start=0, count=4):
     return "".join(f"id: {n}\ndata: q1-{n}\n\n" for n in range(start, count)).encode()
 
 
@@ -21,23 +21,23 @@
     return sum(engine.ran["q1"] for engine in site.engines)
 
 
-async def test_a_stream_is_passed_on_whole(site):
+async def test_a_stream_is_forwarded_completely(site):
     status, headers, body = await call(site, "/stream/1")
-    assert (status, body) == (200, whole())
+    assert (status, body) == (200, stream_body())
     assert headers["X-Response-Stamp"].endswith(".q1")
 
 
-async def test_a_resumable_stream_goes_on_at_another_endpoint(site):
+async def test_a_resumable_stream_continues_at_another_endpoint(site):
     for engine in site.engines:
         engine.cut_after = [2]
     status, headers, body = await call(site, "/resumable/1")
-    assert (status, body) == (200, whole())
+    assert (status, body) == (200, stream_body())
     assert runs(site) > 1
-    # The head is that of the first endpoint.
+    # The response head is that of the first endpoint.
     assert headers["X-Response-Stamp"].endswith(".q1")
 
 
-async def test_another_stream_ends_plainly_broken_and_is_run_once(site):
+async def test_a_stream_that_is_not_resumable_breaks_and_runs_once(site):
     for engine in site.engines:
         engine.cut_after = [2]
     with pytest.raises(aiohttp.ClientError):
@@ -47,7 +47,7 @@
 
 async def test_a_caller_resumes_by_itself(site):
     status, _, body = await call(site, "/resumable/1", **{"Last-Event-Id": "1"})
-    assert (status, body) == (200, whole(start=2))
+    assert (status, body) == (200, stream_body(start=2))
 
 
 @pytest.mark.parametrize(("path", "count"), [("/stream/1", 1), ("/resumable/1", 2)])
@@ -61,11 +61,11 @@
     assert runs(site) >= count
 
 
-async def test_a_full_endpoint_is_passed_over(site):
+async def test_a_full_endpoint_is_skipped(site):
     for engine in site.engines:
         engine.fail_next = ["full"]
     status, _, body = await call(site, "/stream/1")
-    assert (status, body) == (200, whole())
+    assert (status, body) == (200, stream_body())
     assert runs(site) == 1
 
 
@@ -80,7 +80,9 @@
 
 
 @pytest.mark.parametrize("path", ["/stream/1", "/resumable/1"])
-async def test_a_stream_that_does_not_begin_is_answered_at_the_routes_time(site, path):
+async def test_a_stream_that_does_not_begin_ends_at_the_timeout_of_its_route(
+    site, path
+):
     document = configuration(2)
     for route in document["routes"]:
         route["timeout_ms"] = 1000
--- a/tests/node/test_suspended.py
+++ b/tests/node/test_suspended.py
@@ -1,8 +1,8 @@
-"""Hosts that are suspended: their steady clock stands still, the world does not.
+"""Suspended hosts: time passes while their monotonic clock may stand still.
 
-A lease or a heartbeat that goes by a clock which stands still is believed in for as
-long as the host was away. The daemon's clock counts suspensions; only its timers are
-late.
+With a clock that stands still, a host would take its lease and the heartbeats of others
+for valid after a suspension of any length. The daemon's clock counts suspensions, so
+only its timers are late.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture
-async def suspendable(tmp_path):
-    site = Site(tmp_path, hosts=3, suspendable=3)
+async def suspendable_site(tmp_path):
+    site = Site(tmp_path, hosts=3, suspendable_site=3)
     try:
         yield await site.start()
     finally:
@@ -25,7 +25,7 @@
 
 
 def holder_of_lease(site):
-    """Return the host that took the lease on orders last."""
+    """Return the host that acquired the orders lease last."""
     taken = [
         (line["timestamp"], number)
         for number, host in enumerate(site.hosts)
@@ -35,8 +35,8 @@
     return site.hosts[max(taken)[1]] if taken else None
 
 
-async def test_a_suspended_holder_gives_no_order_by_its_old_lease(suspendable):
-    site = suspendable
+async def test_a_suspended_holder_gives_no_order_with_its_old_lease(suspendable_site):
+    site = suspendable_site
     site.name_version(2)
     await until(lambda: all(engine.version == 2 for engine in site.engines))
     first = holder_of_lease(site)
@@ -53,8 +53,8 @@
             assert holder == other or later - at > LEASE_S / 2
 
 
-async def test_a_batch_of_a_suspended_owner_is_worked_on_by_another_one(suspendable):
-    site = suspendable
+async def test_a_batch_is_taken_over_from_a_suspended_owner(suspendable_site):
+    site = suspendable_site
     for engine in site.engines:
         engine.events, engine.event_gap_s = 20, 0.05
     await site.submit(site.hosts[0], "b1")
@@ -69,10 +69,10 @@
     check_results(await site.read_all("b1", 8, hosts=[owner]), "b1", 8, events=20)
 
 
-async def test_a_request_that_was_held_by_a_suspended_host_is_not_sent_late(
-    suspendable,
+async def test_a_suspended_host_does_not_send_a_request_after_its_deadline(
+    suspendable_site,
 ):
-    site = suspendable
+    site = suspendable_site
     for scorer in site.scorers:
         scorer.fail_next = ["silent"] * 3
     asked = asyncio.ensure_future(
--- a/tests/node/test_usage.py
+++ b/tests/node/test_usage.py
@@ -1,4 +1,4 @@
-"""Reports of usage by whole hosts, and who makes them."""
+"""Reports of usage by daemons, and the lease of the host that makes them."""
 
 import asyncio
 import time
@@ -85,14 +85,14 @@
     assert platform.total("north") == 0
 
 
-async def test_rollouts_stand_outside_of_reports(site, platform):
+async def test_rollouts_are_not_reported(site, platform):
     assert await site.submit(site.hosts[0], "b1", key="north-1") == 202
     await site.read_all("b1", 8, key="north-1")
     await reported(platform)
     assert platform.total("north") == 0
 
 
-async def test_reports_go_on_when_their_holder_is_lost(site, platform):
+async def test_reports_continue_when_the_lease_holder_is_killed(site, platform):
     holder = holder_of(site, platform)
     others = [number for number, each in enumerate(site.hosts) if each is not holder]
     for number in range(6):
@@ -103,7 +103,7 @@
     assert holder_of(site, platform) is not holder
 
 
-async def test_a_frozen_holder_sends_nothing_out_of_turn(site, platform):
+async def test_a_frozen_holder_makes_no_call_without_the_lease(site, platform):
     for _ in range(2):
         holder = holder_of(site, platform)
         holder.signal(FREEZE)
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("answers", [["lost"] * 3, [429] * 5, [503] * 3, ["silent"]])
-async def test_lost_and_refused_reports_are_made_again(site, platform, answers):
+async def test_lost_and_refused_reports_are_retried(site, platform, answers):
     platform.answers = list(answers)
     assert await call(site) == 200
     await reported(platform)
@@ -131,7 +131,7 @@
     assert platform.total("north") == 1
 
 
-async def test_all_hosts_may_be_lost_at_once(site, platform):
+async def test_reports_survive_the_loss_of_all_hosts(site, platform):
     assert await call(site) == 200
     await asyncio.sleep(1.0)
     for host in site.hosts:
--- a/tests/node/test_weights.py
+++ b/tests/node/test_weights.py
@@ -1,4 +1,4 @@
-"""Engines come to the version that was named, under lost and late orders."""
+"""Engines load the named model version, also after lost and late orders."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
     assert len({order["fence"] for order in orders}) == 1
 
 
-async def test_an_order_whose_reply_was_lost_is_not_doubled(site):
+async def test_an_order_whose_reply_was_lost_is_carried_out_once(site):
     site.engines[0].lose_order_replies = 1
     site.name_version(2)
     await until(lambda: all(engine.version == 2 for engine in site.engines))
