--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -49,8 +49,8 @@
     address : Address
         Where this host serves its subscribers while it is the reader.
     min_hosts : int
-        Smallest number of hosts with which the feed is used. Fewer hosts can each
-        read the store, and save the twelve megabytes that the feed's library takes.
+        Smallest number of hosts with which the feed is used. The store can serve the
+        reads of fewer hosts, which save the twelve megabytes of the feed's library.
     """
 
     address: Address
@@ -110,7 +110,7 @@
 
 
 class NodeSettings(_Section, frozen=True):
-    """All settings of one daemon; names of durations end in their unit.
+    """All settings of one daemon; ``_ms`` and ``_s`` in names are units of time.
 
     Attributes
     ----------
--- a/tests/node/test_suspended.py
+++ b/tests/node/test_suspended.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 async def suspendable_site(tmp_path):
-    site = Site(tmp_path, hosts=3, suspendable_site=3)
+    site = Site(tmp_path, hosts=3, suspendable=3)
     try:
         yield await site.start()
     finally:
