--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -131,7 +131,7 @@
             return Unauthorized(decision.reason)
         return decision
 
-    async def admit_to_batches(
+    async def admit_batch_call(
         self, key: ApiKey | None
     ) -> Admitted | Unauthorized | NotRun:
         """Admit a call that names a batch and therefore has no route."""
--- a/src/bankrudder/platform/_front.py
+++ b/src/bankrudder/platform/_front.py
@@ -180,7 +180,7 @@
         return web.Response(status=202) if reply is None else _response(reply)
 
     async def _batch_call(self, request: web.BaseRequest, path: str) -> web.Response:
-        admitted = await self._gateway.admit_to_batches(_key(request))
+        admitted = await self._gateway.admit_batch_call(_key(request))
         if not isinstance(admitted, Admitted):
             return _response(admitted)
         batch_id = BatchId(path.removeprefix(names.BATCH_PATH_PREFIX))
@@ -203,7 +203,7 @@
         return web.Response(body=encode_page(page), content_type="application/json")
 
     async def _sample_body(self, request: web.BaseRequest, path: str) -> web.Response:
-        admitted = await self._gateway.admit_to_batches(_key(request))
+        admitted = await self._gateway.admit_batch_call(_key(request))
         if not isinstance(admitted, Admitted):
             return _response(admitted)
         batch_id = BatchId(path.removeprefix(names.SAMPLE_PATH_PREFIX))
