--- a/src/bankrudder/node/_supply.py
+++ b/src/bankrudder/node/_supply.py
@@ -1,4 +1,4 @@
-"""The parts that order endpoints, and the duty of one host to do so."""
+"""Components that order endpoints from the platform, a duty of one host at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,10 +13,11 @@
 from bankrudder.world import Clock
 
 SUPPLY_LEASE = "supply"
+"""Lease of the host that orders endpoints."""
 
 
-class SupplyParts:
-    """The duty to order endpoints."""
+class SupplyComponents:
+    """The lease on the duty to order endpoints, and the scaler that carries it out."""
 
     def __init__(
         self,
@@ -32,31 +33,34 @@
         self.lease = lease
         self._routes = routes
         duty = Duty(SUPPLY_LEASE, api, lease, settings.host, duties.calls_per_s, clock)
-        self._keeper = EngineScaler(
+        self._scaler = EngineScaler(
             duty, routes, directory, owners, lambda: lease.fence, clock
         )
 
-    def works(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return what runs all the time, by its name."""
-        return {"supply lease": self._lease_where_needed, "supply": self._supply}
+    def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
+        """Return the background tasks, by name."""
+        return {
+            "supply lease": self._run_lease_when_configured,
+            "supply": self._order_engines,
+        }
 
-    async def _lease_where_needed(self) -> None:
-        """Hold or watch the lease once the configuration lets anything be ordered."""
+    async def _run_lease_when_configured(self) -> None:
+        """Run the lease once the configuration lets a service scale."""
         while True:
-            if self._is_asked_for():
+            if self._is_scaling_configured():
                 await self.lease.run()
             await asyncio.sleep(SUPPLY_PAUSE_S)
 
-    def _is_asked_for(self) -> bool:
+    def _is_scaling_configured(self) -> bool:
         table = self._routes()
         if table is None:
             return False
         return any(each.scaling is not None for each in table.configuration.services)
 
-    async def _supply(self) -> None:
+    async def _order_engines(self) -> None:
         await repeat_on_duty(
             "orders of endpoints",
             lambda: self.lease.is_valid,
             SUPPLY_PAUSE_S,
-            self._keeper.order_engines,
+            self._scaler.order_engines,
         )
--- a/src/bankrudder/node/_usage.py
+++ b/src/bankrudder/node/_usage.py
@@ -1,4 +1,4 @@
-"""The parts that count what workspaces use, and report it."""
+"""Components that count the usage of each workspace and report it to the platform."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -20,10 +20,11 @@
 from bankrudder.world import Clock
 
 USAGE_LEASE = "usage"
+"""Lease of the host that reports usage."""
 
 
-class UsageParts:
-    """Counting on each host, and the duty of one to report."""
+class UsageComponents:
+    """The counts of this host, and the duty of one host to report those of all."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         schedule = ReportSchedule(
             timedelta(seconds=usage.window_s), timedelta(seconds=usage.late_s)
         )
-        max_silence_s = usage.window_s + usage.late_s
+        host_expiry_s = usage.window_s + usage.late_s
         rows = UsageRows(store, clock)
         self.lease = lease
         self.counter = UsageCounter(schedule, time)
@@ -56,12 +57,12 @@
             time,
             lambda: lease.fence,
             lambda seconds: presence.seen.has_heard_all_hosts(
-                settings.host, seconds, max_silence_s
+                settings.host, seconds, host_expiry_s
             ),
         )
 
-    def works(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return what runs all the time, by its name."""
+    def background_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
+        """Return the background tasks, by name."""
         return {
             "usage lease": self.lease.run,
             "usage counts": self.writer.run,
