--- a/src/bankrudder/platform/_documents.py
+++ b/src/bankrudder/platform/_documents.py
@@ -158,7 +158,7 @@
 
 
 def decode_configuration(body: bytes) -> RoutingConfiguration:
-    """Decode a configuration.
+    """Decode a configuration; routes of an unknown kind are left out.
 
     Raises
     ------
--- a/src/bankrudder/platform/_endpoint_client.py
+++ b/src/bankrudder/platform/_endpoint_client.py
@@ -72,7 +72,7 @@
 
 
 class _WireState(msgspec.Struct):
-    """State that an engine reports; it is a tenth of a second old.
+    """State that an engine reports, as it was a tenth of a second earlier.
 
     ``sequence`` counts the orders that the engine accepted, ``num_running`` the
     requests that it is processing. ``born`` is the start time of the engine's run in
--- a/src/bankrudder/platform/_events.py
+++ b/src/bankrudder/platform/_events.py
@@ -9,7 +9,7 @@
 from bankrudder.world import ModelVersion
 
 MAX_EVENT_BYTES = 1 << 20
-"""Maximum size of an event: sixty times the largest one seen."""
+"""Maximum size of an event: sixty times the size of the largest events of engines."""
 
 _VERSION_FIELD = names.WEIGHT_VERSION.lower().encode("ascii")
 
--- a/src/bankrudder/platform/_listeners.py
+++ b/src/bankrudder/platform/_listeners.py
@@ -34,7 +34,10 @@
 from bankrudder.world import Address, Clock, SampleId, WorkspaceName
 
 KEEP_ALIVE_S = 20.0
-"""Idle timeout of callers' connections: longer than callers reuse an idle one."""
+"""Idle timeout of callers' connections.
+
+It is longer than the time for which callers reuse an idle connection.
+"""
 
 MAX_HEADER_BYTES = 32768
 """Maximum size of the request line and of each header field.
@@ -44,7 +47,7 @@
 """
 
 MAX_BODY_BYTES = 64 << 20
-"""Maximum size of a body that is read before the configured limit is applied."""
+"""Maximum size of a request body; a larger one is answered with status 413."""
 
 DEFAULT_TIMEOUT_S = 30.0
 """Timeout of a request whose caller states none."""
@@ -81,7 +84,13 @@
         return self._in_progress
 
     async def start(self) -> None:
-        """Listen; raises `OSError` if the address cannot be bound."""
+        """Start listening.
+
+        Raises
+        ------
+        OSError
+            If the address cannot be bound.
+        """
         server = web.Server(
             self._handle,
             request_factory=_make_request,
@@ -231,7 +240,13 @@
         self._runner: web.ServerRunner | None = None
 
     async def start(self) -> None:
-        """Listen; raises `OSError` if the address cannot be bound."""
+        """Start listening.
+
+        Raises
+        ------
+        OSError
+            If the address cannot be bound.
+        """
         self._runner = web.ServerRunner(web.Server(self._handle, access_log=None))
         await self._runner.setup()
         host, _, port = self._address.rpartition(":")
--- a/src/bankrudder/platform/_store.py
+++ b/src/bankrudder/platform/_store.py
@@ -35,11 +35,15 @@
 """Timeout of a call, apart from the time that a call asks the store to wait.
 
 It is 1.5 times what a transaction takes when the store is sixty times slower than
-usual. Results whose reply is lost are listed again after this time.
+usual. A batch lists its results again after this time if the reply to the commit is
+lost.
 """
 
 OBJECT_TIMEOUT_S = 4.0
-"""Timeout of calls for objects, which take three times as long as transactions."""
+"""Timeout of reads and writes of objects.
+
+They take three times as long as transactions. Removals use `CALL_TIMEOUT_S`.
+"""
 
 FOLLOW_SLACK_S = 0.6
 """Timeout of a read of changes beyond the time for which the store may hold it open.
@@ -56,7 +60,7 @@
 IDLE_TIMEOUT_S = 10.0
 """Time after which idle connections are closed, before they can fail unnoticed."""
 
-_TROUBLE_OF_STATUS = {
+_ERROR_KIND_OF_STATUS = {
     429: StoreErrorKind.RATE_LIMITED,
     503: StoreErrorKind.BUSY,
     507: StoreErrorKind.FULL,
@@ -143,7 +147,7 @@
                 case 412:
                     return Conflict(_decode(reply).rows)
                 case _:
-                    return NotCommitted(_trouble_of(status))
+                    return NotCommitted(_error_kind_of(status))
         except _NoReplyError as error:
             return _outcome_without_reply(error)
 
@@ -198,7 +202,7 @@
             case 412:
                 return Conflict(())
             case _:
-                return NotCommitted(_trouble_of(status))
+                return NotCommitted(_error_kind_of(status))
 
     async def get_object(self, name: str) -> bytes | None:
         """Return an object, None if it does not exist."""
@@ -214,7 +218,7 @@
             case 404:
                 return None
             case _:
-                raise StoreUnavailableError(_trouble_of(status))
+                raise StoreUnavailableError(_error_kind_of(status))
 
     async def drop_object(self, name: str) -> CommitOutcome:
         """Remove an object; succeed also if it does not exist."""
@@ -224,7 +228,7 @@
             return CommitUnknown(error.error_kind)
         if status in (200, 204, 404):
             return Committed(RowVersion(0))
-        return NotCommitted(_trouble_of(status))
+        return NotCommitted(_error_kind_of(status))
 
     async def _read(
         self, path: str, query: dict[str, str], timeout_s: float = CALL_TIMEOUT_S
@@ -239,7 +243,7 @@
                 case 410:
                     raise HistoryLostError
                 case _:
-                    raise StoreUnavailableError(_trouble_of(status))
+                    raise StoreUnavailableError(_error_kind_of(status))
         except _NoReplyError as error:
             raise StoreUnavailableError(error.error_kind) from None
 
@@ -335,5 +339,5 @@
     return NotCommitted(error.error_kind)
 
 
-def _trouble_of(status: int) -> StoreErrorKind:
-    return _TROUBLE_OF_STATUS.get(status, StoreErrorKind.REJECTED)
+def _error_kind_of(status: int) -> StoreErrorKind:
+    return _ERROR_KIND_OF_STATUS.get(status, StoreErrorKind.REJECTED)
--- a/tests/platform/test_duty_api.py
+++ b/tests/platform/test_duty_api.py
@@ -63,8 +63,8 @@
 
 async def test_no_call_is_sent_if_the_lease_is_lost_while_connecting(api, platform):
     """A host may be paused after its lease check while another host takes the lease."""
-    lost_ticket = DutyGrant("host-1", 12, 0.3, lambda: False)
-    assert await api.call(REPORT, lost_ticket) is DutyOutcome.NOT_ON_DUTY
+    lost_grant = DutyGrant("host-1", 12, 0.3, lambda: False)
+    assert await api.call(REPORT, lost_grant) is DutyOutcome.NOT_ON_DUTY
     assert platform.calls == []
     assert platform.usage == {}
     assert await api.call(REPORT, GRANT) is DutyOutcome.DONE
