--- a/src/bankrudder/logs/_limit.py
+++ b/src/bankrudder/logs/_limit.py
@@ -12,8 +12,11 @@
 """Largest number of lines of one event per second at levels below WARNING."""
 
 WARNING_LINES_PER_S = 120
-"""The same for levels from WARNING on. This limit is higher because these lines are
-about requests that were refused, failed or taken over."""
+"""Largest number of lines of one event per second at levels from WARNING on.
+
+It is higher than `INFO_LINES_PER_S` because lines of these levels are about requests
+that were refused, failed or taken over.
+"""
 
 WINDOW_S = 1.0
 
--- a/src/bankrudder/logs/_sink.py
+++ b/src/bankrudder/logs/_sink.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Size of the buffer for lines that the reader has not taken yet. Further lines are
+"""Size of the buffer for lines that the reader has not read yet. Further lines are
 dropped and counted. The buffer holds some thousand lines and takes a small part of a
 host's memory."""
 
@@ -26,11 +26,18 @@
 
     @property
     def dropped_count(self) -> int:
-        """Number of writes that were dropped since the start."""
+        """Number of drops since the start.
+
+        A line that does not fit into the buffer counts as one drop, and so does a whole
+        buffer that is discarded because the descriptor cannot be written.
+        """
         return self._dropped_count
 
     def write(self, text: str) -> int:
-        """Write a line, or buffer it until the reader is ready."""
+        """Write a line, or buffer it until the reader is ready.
+
+        The line is dropped if it does not fit into the buffer.
+        """
         line = text.encode("utf-8", "replace")
         if len(self._buffer) + len(line) > MAX_BUFFERED_BYTES:
             self._dropped_count += 1
--- a/src/bankrudder/observe/_spans.py
+++ b/src/bankrudder/observe/_spans.py
@@ -16,7 +16,7 @@
 MS_PER_S = 1000.0
 TRACEPARENT_VERSION = "00"
 TRACEPARENT_LENGTHS = (2, 32, 16, 2)
-"""Hexadecimal digits of version, trace, parent span and flags."""
+"""Numbers of hexadecimal digits of the version, trace, parent span and flags."""
 
 AttributeValue = str | int | float | bool
 
