--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,9 +1,10 @@
 """Demonstration of the service on a simulated platform, with checks of its guarantees.
 
-Starts daemons as processes on loopback, which two trainers and three callers use. Stops
-one host gracefully, kills another, changes the configuration, and revokes an API
-key of one of two workspaces. Then checks what clients and endpoints saw, and prints the
-usage of each workspace. The exit status is 1 if a guarantee was violated.
+Starts daemons as processes on loopback, which two trainers, three callers and two
+callers of the RPC interface use. Stops one host gracefully, kills another, changes the
+configuration, and revokes an API key of one of two workspaces. Then checks what clients
+and endpoints saw, and prints the usage of each workspace. The exit status is 1 if a
+guarantee was violated.
 """
 
 import asyncio
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -39,16 +39,22 @@
 EVENTS_PER_SAMPLE = 12
 SAMPLES_PER_STEP = 8
 EVENT_GAP_S = 0.03
+"""Time between two events of a sample for even seeds; it is short, so that there are
+many batches."""
+
 SLOW_EVENT_GAP_S = 0.15
-"""Time between two events of a sample, for even and for odd seeds. Short gaps give many
-batches; with long gaps, batches are more often in progress when a fault is injected."""
+"""Time between two events of a sample for odd seeds; it is long, so that batches are
+more often in progress when a fault is injected."""
 
 SERVED_SHARE = 0.9
 """Share of the requests after recovery that must be served."""
 
-MIN_READERS = 3
-"""Number of hosts from which on one host reads the store for the others. It is small,
-so that runs cover both modes."""
+MIN_FEED_HOSTS = 3
+"""Smallest number of running hosts at which one host reads the store for the others.
+
+It is less than the default number of hosts, so that one host reads for all until faults
+stop others, and each host then reads for itself.
+"""
 
 RESTART_DELAY_S = 0.5
 """Time after which crashed endpoints are restarted; on the platform, some seconds."""
@@ -81,7 +87,7 @@
             engines,
             EVENTS_PER_SAMPLE,
             rpc=RPC,
-            min_feed_hosts=MIN_READERS,
+            min_feed_hosts=MIN_FEED_HOSTS,
             suspendable=int(has_suspension),
         )
         has_workspaces = any(fault.kind in WORKSPACE_KINDS for fault in schedule)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -69,6 +69,7 @@
     host = run.pick_host(fault)
     if host.is_running:
         host.terminate()
+        # The grace period of the daemons is 8 s.
         await host.wait_exited(9.0)
     await run.restart(host)
 
@@ -215,8 +216,10 @@
 """Consecutive answers that are lost, more than the calls that a duty holder makes."""
 
 WINDOW_SETTLED_S = 4.0
-"""Time after which a usage window is settled even if the counts of a host are missing,
-equal to the time in which the simulated platform requires reports."""
+"""Time after which a usage window is settled even if the counts of a host are missing.
+
+It equals `REPORT_DUE_S` in `soak.workspaces`.
+"""
 
 
 async def _counts_late(run, fault):
@@ -301,7 +304,7 @@
 }
 
 SECOND_KINDS = frozenset(KINDS)
-"""The same for seeds that are newer than `FIRST_KINDS`."""
+"""Kinds for kept seeds that were added after those of `FIRST_KINDS`."""
 
 CRASHING_KINDS = frozenset(
     {
@@ -326,7 +329,10 @@
 }
 
 THIRD_KINDS = frozenset(KINDS)
-"""The same for seeds that are newer than `SECOND_KINDS` and older than workspaces."""
+"""Kinds for kept seeds that were added after those of `SECOND_KINDS`.
+
+They do not include the kinds that need workspaces.
+"""
 
 DUTY_KINDS = frozenset(
     {
--- a/soak/history.py
+++ b/soak/history.py
@@ -12,10 +12,10 @@
 """Endpoints that one request may crash before hosts have to stop running it."""
 
 MAX_RETRIES = 3
-"""Runs of that request that are still allowed once all hosts know of the crashes."""
+"""Runs of a crashing request that are allowed once all hosts know of its crashes."""
 
 PROPAGATION_LIMIT_S = 3.0
-"""Time within which all hosts know of the crashes."""
+"""Time within which all hosts know of the crashes that a request caused."""
 
 MAX_CRASHING_RUNS = 12
 """Runs of one crashing request that are allowed in a whole soak run, whatever faults of
--- a/soak/keyed.py
+++ b/soak/keyed.py
@@ -15,7 +15,7 @@
 from soak.history import KeyedCallObservation, KeyedOutcome
 
 CALL_TIMEOUT_S = 4.0
-"""Time after which a caller takes the reported outcome as final."""
+"""Timeout of a keyed call, including the retries of the client."""
 
 PAUSE_S = 0.1
 
--- a/soak/workspaces.py
+++ b/soak/workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces of a soak run: API keys that change, and the platform's duty interface."""
+"""Workspaces of a soak run: API keys that change, and the platform's duty API."""
 
 import asyncio
 import itertools
@@ -7,7 +7,9 @@
 
 DUTY_LEASE_S = 1.0
 USAGE_WINDOW_S = 1.0
-LATE_S = 4.0
+REPORT_DUE_S = 4.0
+"""Time after the end of a usage window by which its report is due."""
+
 WORKSPACE = "north"
 OTHER_WORKSPACE = "south"
 OTHER_KEY = "soak-key-of-the-south"
@@ -32,9 +34,9 @@
         return f"soak-key-{next(self._key_numbers)}"
 
     async def start(self):
-        """Start the duty interface of the platform; return the host settings for it."""
+        """Start the platform's duty API; return the settings of the hosts for it."""
         await self.platform.start()
-        return self.platform.settings(window_s=USAGE_WINDOW_S, late_s=LATE_S)
+        return self.platform.settings(window_s=USAGE_WINDOW_S, late_s=REPORT_DUE_S)
 
     def document(self):
         """Return the workspaces as a configuration lists them."""
--- a/tests/outside/store.py
+++ b/tests/outside/store.py
@@ -16,7 +16,7 @@
 from aiohttp import web
 
 CLOCK_OFFSET_S = 40_000.0
-"""Offset of the store's steady clock from the machine's."""
+"""Offset of the store's monotonic clock from the machine's."""
 
 
 class GateMode(Enum):
@@ -24,21 +24,24 @@
 
     OPEN = "open"
     BUSY = "busy"
+    """With status 503."""
+
     SILENT = "silent"
     RESET = "reset"
     LIMITED = "limited"
+    """With status 429, as at the store's rate limit."""
 
 
-def steady_clock():
-    """Return the time of the store's steady clock, in seconds."""
+def store_monotonic_s():
+    """Return the time of the store's monotonic clock, in seconds."""
     return time.monotonic() + CLOCK_OFFSET_S
 
 
 class StoreRows:
-    """The rows of all tables and their history; ``now_s`` is the store's clock."""
+    """The rows of all tables and their history; ``now_s()`` reads the store's clock."""
 
     def __init__(self):
-        self.now_s = steady_clock
+        self.now_s = store_monotonic_s
         self.version = 0
         self.rows = {}
         self.history = []
--- a/tests/soak/test_history.py
+++ b/tests/soak/test_history.py
@@ -14,14 +14,14 @@
 
 
 def result(sample="b1-s0", version=1, **changes):
-    whole = {
+    complete_result = {
         "id": sample,
         "state": "succeeded",
         "text": f"{sample}-0-v{version}\n{sample}-1-v{version}",
         "versions": [version],
         "score": f"scorer.{sample.replace('-s', '-r')}",
     }
-    return {**whole, **changes}
+    return {**complete_result, **changes}
 
 
 def history(*results, min_version=1, **changes):
@@ -47,7 +47,7 @@
         crashes={"c": [1.0, 2.0, 3.0, 3.5, 5.9, 7.0, 8.0]},
         revisions=[("h", 1, 3), ("h", 1, 4), ("h", 2, 3)],
         keyed=[
-            KeyedCallObservation("k1", [NOT_RUN, WHOLE, WHOLE]),
+            KeyedCallObservation("k1", [NOT_RUN, RIGHT_ANSWER, RIGHT_ANSWER]),
             KeyedCallObservation("k2", [NOT_RUN]),
         ],
     )
@@ -79,13 +79,13 @@
     return history(result(), keyed=[seen], runs={"k1": runs})
 
 
-WHOLE = (KeyedOutcome.ANSWERED, b"answer to k1")
+RIGHT_ANSWER = (KeyedOutcome.ANSWERED, b"answer to k1")
 NOT_RUN = (KeyedOutcome.NOT_RUN, b"")
 
 BAD = {
-    "a key runs twice": (keyed(WHOLE, runs=2), "ran 2 times"),
+    "a key runs twice": (keyed(RIGHT_ANSWER, runs=2), "ran 2 times"),
     "a key that ran is reported as not run": (keyed(NOT_RUN), "reported as not run"),
-    "a key that never ran is answered": (keyed(WHOLE, runs=0), "never ran"),
+    "a key that never ran is answered": (keyed(RIGHT_ANSWER, runs=0), "never ran"),
     "a key gets another answer": (
         keyed((KeyedOutcome.ANSWERED, b"no")),
         "wrong answer",
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -1,4 +1,8 @@
-"""Short soak runs, with each seed that has ever failed and its cause."""
+"""Short soak runs with kept seeds.
+
+Kept are the first seed of each set of fault kinds, and each seed that has failed, with
+its cause.
+"""
 
 import asyncio
 import subprocess
@@ -19,17 +23,17 @@
     820: "the first seed with endpoints that restart under their name, and with "
     "unreadable entries; it never failed",
 }
-"""The same for the second set of fault kinds."""
+"""Seeds drawn from the second set of fault kinds, and why they are kept."""
 
 THIRD_SEEDS = {
     900: "the first seed with requests that crash endpoints, and with suspended hosts",
 }
-"""The same for the third set of fault kinds."""
+"""Seeds drawn from the third set of fault kinds, and why they are kept."""
 
 DUTY_SEEDS = {
     1: "the first seed with workspaces and duties; it never failed",
 }
-"""The same for changes of API keys, and faults of hosts that hold a duty."""
+"""Seeds drawn from the fault kinds of workspaces and duties, and why they are kept."""
 
 KEPT_SEEDS = [
     *(("first", seed) for seed in FIRST_SEEDS),
