--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -1,4 +1,7 @@
-"""What callers and trainers may ask of a host."""
+"""The operations of a host for callers and trainers, behind any listener.
+
+Each operation returns its result, or a refusal as a value.
+"""
 
 from collections.abc import Callable
 
@@ -14,7 +17,7 @@
     ResultPage,
 )
 from bankrudder.node._instruments import Instruments
-from bankrudder.node._latest_keys import LatestKeys
+from bankrudder.node._key_refresher import KeyRefresher
 from bankrudder.observe import Span, Tracer
 from bankrudder.relay import (
     Forwarder,
@@ -35,21 +38,27 @@
 from bankrudder.world import NO_WORKSPACE, Clock, SampleId, WorkspaceName
 
 STORE_RETRY_AFTER_S = 0.5
-"""When to come back while the store gives no result here: another host may reach
-it, and outages of single calls are short."""
+"""Retry delay for callers while this host cannot read the store: another host may reach
+it, and failures of single calls are short."""
 
 ACCEPT_RETRY_AFTER_S = 0.1
-"""The same for a batch: it arrives at another host then, which may reach the store, and
-this host has waited for the store's return already."""
+"""Retry delay for a batch that was not accepted: the retry goes to another host, which
+may reach the store, and this host has already waited for the store to recover."""
 
 START_RETRY_AFTER_S = 0.5
-"""When to come back while no configuration is known: about the time of a start."""
+"""Retry delay while no configuration is known: about the time that a start takes."""
 
 _log = structlog.get_logger("gateway")
 
 
 class Gateway:
-    """The requests of callers, trainers, and the balancer's question."""
+    """Routes, admits and serves requests, and reports whether the host is ready.
+
+    Parameters
+    ----------
+    is_ready : callable
+        Whether this host can serve requests, apart from a planned stop.
+    """
 
     def __init__(
         self,
@@ -61,12 +70,12 @@
         reader: BatchReader,
         repository: BatchRepository,
         instruments: Instruments,
-        latest_keys: LatestKeys,
+        key_refresher: KeyRefresher,
         tracer: Tracer,
         clock: Clock,
     ):
         self._tracer = tracer
-        self._latest_keys = latest_keys
+        self._key_refresher = key_refresher
         self._routes = routes
         self._is_ready = is_ready
         self._forwarder = forwarder
@@ -80,20 +89,20 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this host takes new connections."""
+        """Whether the load balancer should send new connections to this host."""
         return self._is_ready() and not self._is_leaving
 
     @property
     def is_leaving(self) -> bool:
-        """Whether this host is about to stop."""
+        """Whether this host is draining for a planned stop."""
         return self._is_leaving
 
     def leave(self) -> None:
-        """Take no new connections from now on; what comes is still answered."""
+        """Report the host as not ready; requests that arrive are still answered."""
         self._is_leaving = True
 
     def route(self, host: str, path: str) -> Route | NotRun | NotFound:
-        """Return the route of a request."""
+        """Return the route of a request, or why it has none."""
         table = self._routes()
         if table is None or not table.configuration.revision:
             return NotRun(RejectReason.NO_CONFIGURATION, START_RETRY_AFTER_S)
@@ -108,10 +117,13 @@
     async def admit(
         self, key: ApiKey | None, *, is_public: bool
     ) -> Admitted | Unauthorized | NotRun:
-        """Return whose request it is, or why it may not run."""
+        """Return the workspace of a request, or why the request may not run.
+
+        Before an unknown key is refused, the newest configuration is read.
+        """
         decision = self._decide(key, is_public)
         if decision == Denial(DenialReason.UNKNOWN_KEY):
-            if not await self._latest_keys.look():
+            if not await self._key_refresher.wait_for_refresh():
                 return NotRun(RejectReason.STORE_UNAVAILABLE, STORE_RETRY_AFTER_S)
             decision = self._decide(key, is_public)
         if isinstance(decision, Denial):
@@ -119,10 +131,10 @@
             return Unauthorized(decision.reason)
         return decision
 
-    async def admit_to_batches(
+    async def admit_batch_call(
         self, key: ApiKey | None
     ) -> Admitted | Unauthorized | NotRun:
-        """Do the same for a call that names a batch, and so no route."""
+        """Admit a call that names a batch and therefore has no route."""
         table = self._routes()
         is_public = table is not None and table.takes_public_batches()
         return await self.admit(key, is_public=is_public)
@@ -136,23 +148,23 @@
         return table.admit(key, is_public=is_public)
 
     async def forward(self, request: IncomingRequest, route: Route) -> Reply:
-        """Return an endpoint's answer to a request, or why there is none."""
+        """Return an endpoint's response to a request, or why there is none."""
         with self._span("gateway.request", request, route) as span:
             traced = msgspec.structs.replace(request, trace=span.traceparent)
             reply = await self._forwarder.forward(traced, route)
             span.set(outcome=type(reply).__name__)
-        self._note(request, route, reply)
+        self._record_reply(request, route, reply)
         return reply
 
     async def stream(
         self, request: IncomingRequest, route: Route
     ) -> StreamStarted | Reply:
-        """Return the stream of an endpoint, or why there is none."""
+        """Return the started stream of an endpoint, or why there is none."""
         service = self._forwarder.pick_service(route)
         with self._span("gateway.stream", request, route) as span:
             reply = await self._streams.forward(request, route, service)
             span.set(outcome=type(reply).__name__)
-        self._note(request, route, reply)
+        self._record_reply(request, route, reply)
         return reply
 
     def _span(self, name: str, request: IncomingRequest, route: Route) -> Span:
@@ -165,9 +177,9 @@
         )
 
     async def accept(self, batch: Batch) -> Reply | None:
-        """Keep a batch; None means that it is kept."""
+        """Accept a batch, also again; None means that it is accepted."""
         try:
-            is_same = await self._batches.accept(batch)
+            is_accepted = await self._batches.accept(batch)
         except StoreUnavailableError as error:
             _log.warning(
                 "gateway: batch not accepted",
@@ -178,60 +190,68 @@
         except NotSettledError:
             _log.warning("gateway: batch perhaps accepted", batch=batch.id)
             return Unanswered(RejectReason.STORE_UNAVAILABLE, False)
-        # The name is taken: what was sent now is not kept and never will be.
-        return None if is_same else Malformed("id: another batch has this name")
+        # Another batch has this ID, so a retry of this one cannot be accepted either.
+        return None if is_accepted else Malformed("id: another batch has this name")
 
-    def _note(
+    def _record_reply(
         self, request: IncomingRequest, route: Route, reply: Reply | StreamStarted
     ) -> None:
         seconds = self._clock.monotonic() - request.received_at
-        self._instruments.note_request(route.kind, reply, seconds)
+        self._instruments.observe_request(route.kind, reply, seconds)
 
     async def results(
-        self, batch_id: BatchId, after: int, wait_s: float, asker: WorkspaceName
+        self,
+        batch_id: BatchId,
+        after: int,
+        wait_s: float,
+        caller_workspace: WorkspaceName,
     ) -> ResultPage | NotRun | NotFound:
-        """Return results of a batch of a workspace from a position on."""
+        """Return results of a batch after a position, if the workspace may see it."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             page = await self._reader.results(batch_id, after, wait_s)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         return page if page is not None else NotFound(RejectReason.NO_ROUTE)
 
     async def sample_body(
-        self, batch_id: BatchId, sample_id: SampleId, asker: WorkspaceName
+        self, batch_id: BatchId, sample_id: SampleId, caller_workspace: WorkspaceName
     ) -> bytes | NotRun | NotFound:
-        """Return the body of a sample of a workspace."""
+        """Return the body of a sample, if the workspace may see its batch."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             sample = await self._reader.sample(batch_id, sample_id)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         return sample.body if sample is not None else NotFound(RejectReason.NO_ROUTE)
 
-    async def end(self, batch_id: BatchId, asker: WorkspaceName) -> Reply | None:
-        """End a batch of a workspace; None means that it is ended."""
+    async def end(
+        self, batch_id: BatchId, caller_workspace: WorkspaceName
+    ) -> Reply | None:
+        """End a batch, if the workspace may see it; None means that it is ended."""
         try:
-            if not await self._may_see(batch_id, asker):
+            if not await self._is_visible(batch_id, caller_workspace):
                 return NotFound(RejectReason.NO_ROUTE)
             is_known = await self._repository.end(batch_id)
         except StoreUnavailableError as error:
-            return _not_known(batch_id, error)
+            return _store_unavailable(batch_id, error)
         except NotSettledError:
             return Unanswered(RejectReason.STORE_UNAVAILABLE, False)
         return None if is_known else NotFound(RejectReason.NO_ROUTE)
 
-    async def _may_see(self, batch_id: BatchId, asker: WorkspaceName) -> bool:
-        """Whether there is such a batch for callers of a workspace."""
+    async def _is_visible(
+        self, batch_id: BatchId, caller_workspace: WorkspaceName
+    ) -> bool:
+        """Whether the batch exists and callers of the workspace may see it."""
         owner = await self._reader.workspace_of(batch_id)
         if owner is None:
             return False
-        return not self.has_workspaces or owner in (NO_WORKSPACE, asker)
+        return not self.has_workspaces or owner in (NO_WORKSPACE, caller_workspace)
 
 
-def _not_known(batch_id: BatchId, error: StoreUnavailableError) -> NotRun:
+def _store_unavailable(batch_id: BatchId, error: StoreUnavailableError) -> NotRun:
     _log.warning(
         "gateway: cannot tell of a batch", batch=batch_id, reason=error.error_kind.value
     )
--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -1,6 +1,6 @@
-"""Settings of a daemon: one JSON document, checked as a whole.
+"""Settings of a daemon: one JSON document, which is validated as a whole.
 
-They are what one process must know before it can ask anyone. Everything else is
+Settings are what a process needs before it can read the store. Everything else is
 configuration, which operators apply.
 """
 
@@ -21,19 +21,19 @@
 _SHA256 = re.compile(r"[0-9a-f]{64}")
 
 
-class _Part(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Base of the parts of the settings."""
+class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Base of the sections of the settings; unknown fields are errors."""
 
 
-class StoreSettings(_Part, frozen=True):
-    """The platform's store.
+class StoreSettings(_Section, frozen=True):
+    """Connection to the platform's store, and its limits.
 
     Attributes
     ----------
     row_bytes : int
-        Largest value of a row.
+        Largest size of a row's value.
     reads_per_s : float
-        Reads that it takes from all hosts together, a second.
+        Reads per second that the store accepts from all hosts together.
     """
 
     address: Address
@@ -41,48 +41,48 @@
     reads_per_s: float = 2000.0
 
 
-class FeedSettings(_Part, frozen=True):
-    """Reading of the store by one host of each data centre for all others.
+class FeedSettings(_Section, frozen=True):
+    """Feed through which one host of each data centre reads the store for the others.
 
     Attributes
     ----------
     address : Address
-        Where this host sends to its subscribers if it reads.
+        Where this host serves its subscribers while it is the reader.
     min_hosts : int
-        Smallest fleet in which this is done: below it, each host's own reads are few
-        enough, and the library for it costs twelve megabytes.
+        Smallest number of hosts with which the feed is used. The store can serve the
+        reads of fewer hosts, which save the twelve megabytes of the feed's library.
     """
 
     address: Address
     min_hosts: int = 100
 
 
-class UsageSettings(_Part, frozen=True):
-    """Reports of what each workspace used.
+class UsageSettings(_Section, frozen=True):
+    """Reports to the platform of the usage of each workspace.
 
     Attributes
     ----------
     window_s : float
-        Length of the time that one report is about.
+        Duration of the window that one report covers.
     late_s : float
-        Time after its end by which the report is due.
+        Time after the end of a window by which its report is due.
     """
 
     window_s: float
     late_s: float
 
 
-class DutySettings(_Part, frozen=True):
-    """The platform's interface for what one host at a time has to tell it.
+class DutySettings(_Section, frozen=True):
+    """The platform's API for duties, which one host at a time carries out.
 
     Attributes
     ----------
     calls_per_s : float
-        Calls that it takes from all hosts together, a second.
+        Calls per second that the API accepts from all hosts together.
     usage : UsageSettings or None
-        None if nobody asks for reports.
+        None if the platform expects no reports.
     orders_endpoints : bool
-        Whether it takes orders of endpoints.
+        Whether the API accepts orders of endpoints.
     """
 
     address: Address
@@ -91,16 +91,16 @@
     orders_endpoints: bool = False
 
 
-class RpcSettings(_Part, frozen=True):
-    """The project's own interface, over gRPC.
+class RpcSettings(_Section, frozen=True):
+    """The gRPC interface for callers, trainers and operators.
 
     Attributes
     ----------
     operator_token_sha256 : str
-        Hexadecimal SHA-256 of a token that may always operate, so that the first
-        configuration can be applied; empty for none.
+        Hexadecimal SHA-256 of a token that always has the operator role, so that the
+        first configuration can be applied; empty for none.
     tls : TlsSettings or None
-        This node's identity; None listens in clear.
+        Certificate and key of this node; None listens without TLS.
     """
 
     address: Address
@@ -109,33 +109,34 @@
     limits: RpcLimits = RpcLimits()
 
 
-class NodeSettings(_Part, frozen=True):
-    """All settings of one daemon; ``_ms`` and ``_s`` give the unit of times.
+class NodeSettings(_Section, frozen=True):
+    """All settings of one daemon; ``_ms`` and ``_s`` in names are units of time.
 
     Attributes
     ----------
     callers_address, readiness_address : Address
-        Listeners for callers and for the platform's balancer.
+        Listeners for callers and for the load balancer's readiness checks.
     processor_share, processor_speed : float
-        Share of a core, and how many times as fast as the usual one it is.
+        Share of a processor core, and the speed of that core relative to the usual
+        one.
     metrics_address : Address or None
-        Listener for metrics, health and spans; None for none.
+        Listener for metrics, health checks and spans; None for none.
     status_retention_s : float
-        Time for which results can be read after the end of a batch.
+        Time after the end of a batch for which its results can be read.
     lease_ms : float
-        Length of a lease on a duty.
+        Duration of a lease on a duty.
     grace_s : float
-        Time between the request to stop and the end by force.
+        Time from the request to stop until the process is killed.
     feeds : FeedSettings or None
-        Reading of the store for other hosts; None to read for this host alone.
+        Feed of the store's changes; None lets this host read the store for itself.
     log_level : LogLevel
-        Least severe lines that are written; a reload changes it.
+        Lowest level of the log lines that are written; a reload changes it.
     rpc : RpcSettings or None
-        The project's own interface; None for none.
+        The gRPC interface; None for none.
     duties : DutySettings or None
-        The platform's interface for duties; None if it has none.
+        The platform's API for duties; None if it has none.
     traces : TraceExport
-        Where finished spans go besides memory.
+        Where finished spans are exported to, besides the copy in memory.
     """
 
     host: HostId
@@ -156,8 +157,8 @@
     traces: TraceExport = NoTraceExport()
 
 
-class _WrongValue(msgspec.Struct, frozen=True):
-    """A field, its value, and what is allowed."""
+class _InvalidValue(msgspec.Struct, frozen=True):
+    """A field with an invalid value, and the rule that the value breaks."""
 
     field: str
     value: object
@@ -165,13 +166,13 @@
 
 
 def load_settings(path: Path) -> NodeSettings:
-    """Read and check settings.
+    """Read and validate settings.
 
     Raises
     ------
     InvalidError
-        If the file cannot be read; else for the first wrong field, with its path,
-        its value and what is allowed.
+        If the file cannot be read, or a field is invalid. The error names the first
+        invalid field, its value and the rule.
     """
     try:
         body = path.read_bytes()
@@ -185,36 +186,36 @@
 
 
 def parse_settings(body: bytes) -> NodeSettings:
-    """Decode and check settings, raising as `load_settings`."""
+    """Decode and validate settings; raises as `load_settings` does."""
     settings = decode_document(body, NodeSettings)
-    wrong = next(_wrong_values(settings), None)
-    if wrong is not None:
+    invalid = next(_invalid_values(settings), None)
+    if invalid is not None:
         raise InvalidError(
             FailureReason.CONFIGURATION_WRONG,
-            f"{wrong.field} is {json_excerpt(wrong.value)}: {wrong.problem}",
-            field=wrong.field,
+            f"{invalid.field} is {json_excerpt(invalid.value)}: {invalid.problem}",
+            field=invalid.field,
         )
     return settings
 
 
-def _wrong_values(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _invalid_values(settings: NodeSettings) -> Iterator[_InvalidValue]:
     for field in ("host", "data_centre"):
         if not getattr(settings, field).strip():
-            yield _WrongValue(field, getattr(settings, field), "a name is needed")
-    yield from _wrong_addresses(settings)
-    yield from _not_positive(settings)
+            yield _InvalidValue(field, getattr(settings, field), "must not be empty")
+    yield from _invalid_addresses(settings)
+    yield from _non_positive_values(settings)
     if settings.rpc is not None:
-        yield from _wrong_token(settings.rpc)
+        yield from _invalid_token_digest(settings.rpc)
 
 
-def _wrong_addresses(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _invalid_addresses(settings: NodeSettings) -> Iterator[_InvalidValue]:
     seen: set[Address] = set()
     for field, address in _listeners(settings):
         problem = address_error(address)
         if address in seen:
-            problem = "each listener needs an address of its own"
+            problem = "each listener must have its own address"
         if problem:
-            yield _WrongValue(field, address, problem)
+            yield _InvalidValue(field, address, problem)
         seen.add(address)
     others = [("store.address", settings.store.address)]
     if settings.duties is not None:
@@ -224,7 +225,7 @@
             others.append(("traces.address", address))
     for field, address in others:
         if problem := address_error(address):
-            yield _WrongValue(field, address, problem)
+            yield _InvalidValue(field, address, problem)
 
 
 def _listeners(settings: NodeSettings) -> Iterator[tuple[str, Address]]:
@@ -238,7 +239,7 @@
         yield "rpc.address", settings.rpc.address
 
 
-def _not_positive(settings: NodeSettings) -> Iterator[_WrongValue]:
+def _non_positive_values(settings: NodeSettings) -> Iterator[_InvalidValue]:
     values = {
         "store.row_bytes": settings.store.row_bytes,
         "store.reads_per_s": settings.store.reads_per_s,
@@ -260,14 +261,14 @@
         values |= {f"rpc.limits.{name}": value for name, value in limits.items()}
     for field, value in values.items():
         if value <= 0:
-            yield _WrongValue(field, value, "allowed is more than 0")
+            yield _InvalidValue(field, value, "must be greater than 0")
 
 
-def _wrong_token(rpc: RpcSettings) -> Iterator[_WrongValue]:
+def _invalid_token_digest(rpc: RpcSettings) -> Iterator[_InvalidValue]:
     digest = rpc.operator_token_sha256
     if digest and not _SHA256.fullmatch(digest):
-        yield _WrongValue(
+        yield _InvalidValue(
             "rpc.operator_token_sha256",
             digest,
-            "allowed are 64 lower-case hexadecimal digits",
+            "must be 64 lower-case hexadecimal digits",
         )
