--- a/src/bankrudder/rpc/_context.py
+++ b/src/bankrudder/rpc/_context.py
@@ -22,8 +22,10 @@
 )
 
 RETRY_AFTER_S = 1.0
+"""Retry delay for a request that a stopping node refuses."""
 
 _BUILT_IN_OPERATOR = CallerName("operator")
+"""Name of the caller that presents the operator token of the node's settings."""
 
 
 class RpcContext:
@@ -80,7 +82,7 @@
         self._stopping = True
 
     def caller_of(self, context: ServicerContext) -> Caller:
-        """Return the caller of a call.
+        """Return the caller of a request.
 
         Raises
         ------
--- a/src/bankrudder/rpc/_interceptor.py
+++ b/src/bankrudder/rpc/_interceptor.py
@@ -16,7 +16,7 @@
 from bankrudder.rpc._types import MethodHandler, ServicerContext
 from bankrudder.wire import MAX_REQUEST_BYTES
 
-WHOLE_MESSAGE = "message"
+REQUEST_FIELD = "message"
 """Field that failures name if they concern the request as a whole."""
 
 _log = structlog.get_logger("rpc")
@@ -125,7 +125,7 @@
             )
         case _:
             return
-    raise InvalidError(reason, detail, field=WHOLE_MESSAGE)
+    raise InvalidError(reason, detail, field=REQUEST_FIELD)
 
 
 def _failure_of(method: str, error: Exception) -> Failure:
--- a/src/bankrudder/rpc/_limits.py
+++ b/src/bankrudder/rpc/_limits.py
@@ -9,6 +9,7 @@
 from bankrudder.world import CallerName, RpcLimits
 
 RETRY_AFTER_S = 1.0
+"""Retry delay for a request that exceeds a limit."""
 
 
 class RequestLimiter:
@@ -29,7 +30,7 @@
 
     @property
     def byte_count(self) -> int:
-        """Total size of the requests in progress."""
+        """Total size of the requests in progress, in bytes."""
         return self._byte_count
 
     @property
--- a/src/bankrudder/rpc/_operators.py
+++ b/src/bankrudder/rpc/_operators.py
@@ -13,13 +13,13 @@
 from bankrudder.world import Revision
 
 DEFAULT_USAGE_WINDOW_COUNT = 12
-"""Usage windows returned by default: one minute at the usual window length."""
+"""Usage windows returned by default: one minute if a window lasts 5 s."""
 
 MAX_USAGE_WINDOW_COUNT = 720
 """Most usage windows returned by one request: as many as the store keeps."""
 
 RETRY_AFTER_S = 0.5
-"""Retry delay while the store is unavailable: about the length of a short outage."""
+"""Retry delay if the store is unavailable: about the length of a short outage."""
 
 
 class OperatorsServicer(pb_grpc.OperatorsServicer):
--- a/src/bankrudder/rpc/_server.py
+++ b/src/bankrudder/rpc/_server.py
@@ -11,8 +11,11 @@
 
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_RECEIVED_BYTES),
+    # Without this option, a second process could listen on the same address.
     ("grpc.so_reuseport", 0),
     ("grpc.keepalive_permit_without_calls", 1),
+    # The clients send keepalive pings every 10 s. By default, gRPC closes a connection
+    # whose pings come more often than every 5 minutes while no data is sent.
     ("grpc.http2.min_recv_ping_interval_without_data_ms", 5000),
 )
 
--- a/src/bankrudder/rpc/_status.py
+++ b/src/bankrudder/rpc/_status.py
@@ -29,7 +29,7 @@
         Requests from this node that are in progress on the endpoint.
     version : ModelVersion
         Newest version of weights that the endpoint serves as far as the node
-        knows, 0 for a plain service.
+        knows, 0 if it knows of none, as for a service.
     """
 
     name: str
@@ -49,7 +49,8 @@
     serving : bool
         Whether the node accepts calls.
     endpoints, memory_bytes, version
-        Known only for the node that serves the request.
+        Endpoints, memory use and program version of the node. Known only for the
+        node that serves the request.
     """
 
     host: HostId
--- a/src/bankrudder/rpc/_trainers.py
+++ b/src/bankrudder/rpc/_trainers.py
@@ -60,9 +60,9 @@
     async def Ack(
         self, request: pb.AckRequest, context: ServicerContext
     ) -> pb.AckReply:
-        """Record which samples the trainer holds.
+        """End a step if the request names all of its samples.
 
-        A stopping node still accepts this for its open steps.
+        A stopping node still accepts this, so that its open steps can end.
         """
         with self._admitted_trainer(context, request, is_new=False) as trainer:
             await self._steps.ack(
--- a/src/bankrudder/tls/_contexts.py
+++ b/src/bankrudder/tls/_contexts.py
@@ -32,5 +32,5 @@
     try:
         context.load_cert_chain(settings.certificate, settings.key)
     except ssl.SSLError as error:
-        detail = "does not match the private key"
+        detail = "is not a PEM certificate chain that matches the private key"
         raise setting_error(TLS_SECTION, "certificate", detail) from error
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -20,7 +20,7 @@
 LONG_PAYLOAD = bytes(100_000)
 
 
-def key_minted_at(time_ms):
+def key_generated_at(time_ms):
     """Return a UUIDv7 key with a time in milliseconds since the epoch."""
     return str(uuid.UUID(int=time_ms << 80 | 7 << 76 | 2 << 62 | 5))
 
@@ -139,8 +139,8 @@
     ("key", "error", "reason"),
     [
         ("order-1", InvalidError, FailureReason.KEY_MALFORMED),
-        (key_minted_at(1), OutcomeUnknownError, FailureReason.KEY_EXPIRED),
-        (key_minted_at(1 << 45), InvalidError, FailureReason.KEY_FROM_FUTURE),
+        (key_generated_at(1), OutcomeUnknownError, FailureReason.KEY_EXPIRED),
+        (key_generated_at(1 << 45), InvalidError, FailureReason.KEY_FROM_FUTURE),
     ],
 )
 async def test_malformed_expired_and_future_keys_are_refused(site, key, error, reason):
