--- a/src/bankrudder/client/_channel.py
+++ b/src/bankrudder/client/_channel.py
@@ -18,6 +18,9 @@
 from bankrudder.world import Address
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
+"""Largest message that gRPC accepts on a client's channel. It bounds the messages of
+answers; requests are bounded by the lower `MAX_REQUEST_BYTES`."""
+
 KEEPALIVE_MS = 10_000
 KEEPALIVE_TIMEOUT_MS = 3_000
 
@@ -25,9 +28,10 @@
 """Value of `Failure.field` when the request as a whole is invalid."""
 
 _OVERSIZE_TEXT = "message larger than max"
+"""Text in the status details of gRPC if a message is too large."""
+
 _SERVER_PREFIX = "SERVER:"
-"""Texts in the status details of gRPC: that a message is too large, and that the
-server reported it."""
+"""Text in the status details of gRPC if the server reported the status."""
 
 _OPTIONS = (
     ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
@@ -67,9 +71,10 @@
 
 
 async def is_connected(channel: grpc.aio.Channel, timeout_s: float) -> bool:
-    """Wait for the connection of `channel`; return whether it is up in time.
+    """Wait up to `timeout_s` for `channel` to connect; return whether it did.
 
-    No byte of a request is sent before the channel is connected.
+    No byte of a request is sent before the channel is connected, so a request for which
+    this returns False has not run.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -133,5 +138,6 @@
             FailureReason.DEADLINE_PASSED, "no answer before the deadline"
         )
     return fallback_type(
-        FailureReason.NODE_UNREACHABLE, f"the connection failed: {error.code().name}"
+        FailureReason.NODE_UNREACHABLE,
+        f"the connection failed with gRPC status {error.code().name}",
     )
--- a/src/bankrudder/client/_operator.py
+++ b/src/bankrudder/client/_operator.py
@@ -112,8 +112,8 @@
     """Sends an operator's requests to one node.
 
     Each method raises the failure that the node answers with as a `BankrudderError`,
-    or `NotRunError` if the node cannot be reached. `apply` and `drain` raise
-    `OutcomeUnknownError` if the reply is lost.
+    or `NotRunError` if the node cannot be reached. If the reply is lost, `apply` and
+    `drain` raise `OutcomeUnknownError`, the other methods `NotRunError`.
 
     Parameters
     ----------
--- a/src/bankrudder/client/_received.py
+++ b/src/bankrudder/client/_received.py
@@ -39,7 +39,7 @@
 
     @property
     def has_missing_samples(self) -> bool:
-        """Whether a slot lost a stale sample and has not been filled since."""
+        """Whether a slot whose stale sample was dropped is still empty."""
         return bool(self._stale_slots - self._held)
 
     @property
@@ -49,7 +49,7 @@
 
     @property
     def opened_versions(self) -> tuple[int, ...]:
-        """Published versions named when the step was opened, in order."""
+        """Each ``current_version`` that a stream was opened with, in order."""
         return tuple(sorted(self._opened_versions))
 
     def record_opened(self, current_version: int) -> None:
--- a/src/bankrudder/client/_retries.py
+++ b/src/bankrudder/client/_retries.py
@@ -51,11 +51,11 @@
         self._deadline = deadline
         self._rng = rng
         self._may_have_run = False
-        self._failures = 0
+        self._failure_count = 0
 
     def decide(self, failure: Failure, now: float) -> Retry | GiveUp:
         """Return whether to retry after an attempt that failed with `failure`."""
-        self._failures += 1
+        self._failure_count += 1
         if failure.kind is FailureKind.OUTCOME_UNKNOWN:
             self._may_have_run = True
         pause_s = self._retry_pause_s(failure)
@@ -77,7 +77,7 @@
     def _wrong_place_pause_s(self, failure: Failure) -> float | None:
         if not failure.allowed_addresses:
             return None
-        return 0.0 if self._failures == 1 else self._backoff_s()
+        return 0.0 if self._failure_count == 1 else self._backoff_s()
 
     def _reported_failure(self, failure: Failure) -> Failure:
         if failure.kind is FailureKind.NOT_RUN and self._may_have_run:
@@ -85,7 +85,8 @@
         return failure
 
     def _backoff_s(self) -> float:
-        return min(MAX_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(self._failures - 1, 8))
+        # The bound of the exponent avoids an overflow; MAX_PAUSE_S is reached earlier.
+        return min(MAX_PAUSE_S, FIRST_PAUSE_S * 2.0 ** min(self._failure_count - 1, 8))
 
     def _jittered(self, pause_s: float) -> float:
         return pause_s * (1 + JITTER * self._rng.random())
--- a/src/bankrudder/client/_trainer.py
+++ b/src/bankrudder/client/_trainer.py
@@ -1,7 +1,7 @@
 """The client for trainers.
 
 A step yields one sample for each slot: broken streams are opened again, duplicates are
-dropped, and samples older than the published weights allow are requested again.
+dropped, and samples that lag the published weights too far are requested again.
 """
 
 import asyncio
@@ -51,8 +51,8 @@
     patience_s : float
         Time without a sample after which a failure is raised instead of retried.
     acks : int
-        Maximum number of attempts to acknowledge a step; a step without an
-        acknowledgement ends by itself some time later.
+        Maximum number of attempts to acknowledge a step. The nodes end a step without
+        an acknowledgement once it has been open for their time limit.
     """
 
     backoff_s: float = 0.1
@@ -172,7 +172,7 @@
         max_tokens: int = 0,
         held: Iterable[SampleSlot] = (),
     ) -> AsyncGenerator[StepSample, None]:
-        """Yield one sample for each slot, in the order of their generation.
+        """Yield one sample for each slot that is not in `held`, in order of arrival.
 
         A sample that is too old for a version published in the meantime is dropped,
         and its slot is requested again. A step number of a job must always be used
@@ -193,7 +193,8 @@
         Raises
         ------
         BankrudderError
-            If the step is refused, or retries fail for `patience_s` without a sample.
+            If the step is refused, a message exceeds a size limit, or retries fail for
+            `patience_s` without a sample.
         """
         received = ReceivedStep(held, max_staleness)
         request = pb.OpenStepRequest(
@@ -249,7 +250,10 @@
         )
 
     async def _ack(self, request: pb.OpenStepRequest, received: ReceivedStep) -> None:
-        """Acknowledge all samples, so that the nodes delete the data of the step."""
+        """Acknowledge the processed samples; if these are all, the nodes end the step.
+
+        Failed attempts are logged; the failure of the last one is not raised either.
+        """
         ack = pb.AckRequest(
             job=request.job,
             step=request.step,
--- a/src/bankrudder/client/_trainer_connection.py
+++ b/src/bankrudder/client/_trainer_connection.py
@@ -78,7 +78,7 @@
             call.cancel()
 
     async def ack(self, request: pb.AckRequest) -> None:
-        """Acknowledge slots; the step ends when all its slots are acknowledged."""
+        """Acknowledge slots; the step ends if `request` names all of its slots."""
         await self._unary(self._stub.Ack, request)
 
     async def publish(self, request: pb.PublishRequest) -> None:
