--- a/src/bankrudder/cli/_logs.py
+++ b/src/bankrudder/cli/_logs.py
@@ -13,7 +13,10 @@
 from bankrudder.cli._output import Output
 
 ID_FIELDS = ("request", "batch", "sample", "call", "content")
-"""Fields of a log line that hold the identifiers which can be searched for."""
+"""Fields of a log line whose identifiers can be searched for.
+
+The field ``content`` holds a digest that all requests with the same content share.
+"""
 
 _LEADING_FIELDS = ("timestamp", "logged_by", "level", "event")
 
@@ -51,7 +54,10 @@
 
 
 def _is_shared(line: Line, batch_ids: set[object], content_ids: set[object]) -> bool:
-    """Return whether a line is about a batch as a whole, or a content in general."""
+    """Return whether a line is about one of the batches or contents as a whole.
+
+    Such a line names no sample of the batch and no request with the content.
+    """
     if "sample" in line or "request" in line:
         return False
     return line.get("batch") in batch_ids or line.get("content") in content_ids
--- a/src/bankrudder/cli/_output.py
+++ b/src/bankrudder/cli/_output.py
@@ -84,7 +84,7 @@
 
 
 def status_lines(nodes: Sequence[NodeReport], endpoints: bool) -> list[str]:
-    """Return a table of nodes, with `endpoints` followed by one of endpoints.
+    """Return a table of nodes; if `endpoints` is true, add one of endpoints.
 
     Only the node that answers the request reports its endpoints.
     """
--- a/src/bankrudder/cli/_parser.py
+++ b/src/bankrudder/cli/_parser.py
@@ -72,7 +72,7 @@
     find.add_argument(
         "id",
         metavar="ID",
-        help="ID of a request, a batch, a sample, a call or a content",
+        help="ID of a request, batch, sample or call, or of a request's content",
     )
     find.add_argument(
         "files", metavar="LOG", nargs="+", help="log files of hosts; - for stdin"
--- a/src/bankrudder/cli/_tls.py
+++ b/src/bankrudder/cli/_tls.py
@@ -16,7 +16,8 @@
     Raises
     ------
     InvalidError
-        If an option of a set is missing, or a file cannot be read.
+        If one of ``--certificate`` and ``--key-file`` is given without the other or
+        without ``--ca``, or a file cannot be read.
     """
     certificate, key = arguments.certificate or "", arguments.key_file or ""
     if bool(certificate) != bool(key) or (certificate and not arguments.ca):
