--- a/src/bankrudder/client/_caller.py
+++ b/src/bankrudder/client/_caller.py
@@ -316,6 +316,7 @@
 
 
 def _broken_answer_error(detail: str) -> OutcomeUnknownError:
+    """Return an error whose retry delay lets the call be retried with the same key."""
     return OutcomeUnknownError(FailureReason.ANSWER_BROKEN, detail, retry_after_s=0.1)
 
 
--- a/src/bankrudder/client/_received.py
+++ b/src/bankrudder/client/_received.py
@@ -1,4 +1,4 @@
-"""The samples of one step that a trainer has received, and which it accepts."""
+"""Which samples of a step the client accepts, and which the trainer has processed."""
 
 from collections.abc import Iterable
 
--- a/src/bankrudder/client/_trainer.py
+++ b/src/bankrudder/client/_trainer.py
@@ -89,7 +89,7 @@
         self._settings = settings or TrainerSettings()
         self._sleep = sleep
         self._connections: dict[Address, TrainerConnection] = {}
-        self._published: dict[str, ModelVersion] = {}
+        self._published_versions: dict[str, ModelVersion] = {}
         self._duplicates_dropped = 0
         self._stale_dropped = 0
 
@@ -156,8 +156,8 @@
                 break
             except (NotRunError, OutcomeUnknownError) as error:
                 await self._fail_over(backoff, error)
-        newest = max(version, self._published.get(job, 0))
-        self._published[job] = ModelVersion(newest)
+        newest = max(version, self._published_versions.get(job, 0))
+        self._published_versions[job] = ModelVersion(newest)
 
     # ---- steps --------------------------------------------------------------
 
@@ -211,7 +211,7 @@
                     received.record_consumed(sample.slot)
             await self._ack(request, received)
         finally:
-            self._add_counts(received)
+            self._add_dropped_counts(received)
 
     async def _samples(
         self, request: pb.OpenStepRequest, received: ReceivedStep
@@ -235,7 +235,7 @@
         """Yield the accepted samples of one stream; return at its end event."""
         open_request = pb.OpenStepRequest()
         open_request.CopyFrom(request)
-        open_request.current_version = self._published.get(request.job, 0)
+        open_request.current_version = self._published_versions.get(request.job, 0)
         received.record_opened(open_request.current_version)
         open_request.held.extend(_slots_to_proto(received.held))
         async with aclosing(self._connection().open_step(open_request)) as events:
@@ -243,7 +243,9 @@
                 if event.WhichOneof("event") == "end":
                     return
                 sample = _sample_from(event.sample)
-                if received.accept(sample, self._published.get(request.job, 0)):
+                if received.accept(
+                    sample, self._published_versions.get(request.job, 0)
+                ):
                     yield sample
         raise OutcomeUnknownError(
             FailureReason.ANSWER_BROKEN, "the stream closed without an end event"
@@ -297,7 +299,7 @@
         self._addresses = allowed + others
         await self._sleep(backoff.next(error.failure.retry_after_s))
 
-    def _add_counts(self, received: ReceivedStep) -> None:
+    def _add_dropped_counts(self, received: ReceivedStep) -> None:
         self._duplicates_dropped += received.duplicate_count
         self._stale_dropped += received.stale_count
 
@@ -312,11 +314,11 @@
 
     @property
     def is_timed_out(self) -> bool:
-        idle_s = self._clock.monotonic() - self._last_progress
+        idle_s = self._clock.monotonic() - self._last_progress_at
         return idle_s > self._settings.patience_s
 
     def reset(self) -> None:
-        self._last_progress = self._clock.monotonic()
+        self._last_progress_at = self._clock.monotonic()
         self._wait_s = self._settings.backoff_s
 
     def next(self, retry_after_s: float | None) -> float:
--- a/src/bankrudder/rpc/_status.py
+++ b/src/bankrudder/rpc/_status.py
@@ -21,7 +21,7 @@
 
 
 class EndpointState(msgspec.Struct, frozen=True):
-    """Status of an endpoint on the node that reports it.
+    """Status of an endpoint, as the node that reports it knows it.
 
     Attributes
     ----------
--- a/src/bankrudder/rpc/_trainers.py
+++ b/src/bankrudder/rpc/_trainers.py
@@ -46,7 +46,7 @@
     async def OpenStep(
         self, request: pb.OpenStepRequest, context: ServicerContext
     ) -> AsyncIterator[pb.StepEvent]:
-        """Stream each sample of the step once, then a ``StepEnd``."""
+        """Stream each sample that the trainer does not hold, then a ``StepEnd``."""
         parent = metadata_value(context, TRACE_KEY)
         with (
             self._tracer.span("rpc.step", parent=parent, job=request.job) as span,
--- a/tests/client/test_caller.py
+++ b/tests/client/test_caller.py
@@ -53,10 +53,10 @@
         self.keys.append(request.key)
         self.called.set()
         self.on_call()
-        step = self.script.pop(0)
-        if isinstance(step, Failure):
-            await abort_with(context, step)
-        for event in step:
+        reply = self.script.pop(0)
+        if isinstance(reply, Failure):
+            await abort_with(context, reply)
+        for event in reply:
             if event is None:
                 await context.abort(grpc.StatusCode.UNAVAILABLE, "broke")
             yield event
--- a/tests/rpc/test_operators.py
+++ b/tests/rpc/test_operators.py
@@ -90,10 +90,10 @@
     assert (await revision_and_document(site, 2))[0] == 1
     site.hosts[2].gate.mode = GateMode.OPEN
 
-    async def has_it():
+    async def has_new_revision():
         return (await revision_and_document(site, 2))[0] == 2
 
-    await until(has_it)
+    await until(has_new_revision)
 
 
 async def test_an_invalid_configuration_is_refused_with_the_field(site):
@@ -143,10 +143,10 @@
             nodes = await operator.status(all_hosts=True)
         return {node.host: node for node in nodes}
 
-    async def is_seen():
+    async def is_reported_unreachable():
         return bool((await states())["host-2"].unreachable)
 
-    await until(is_seen, 15.0)
+    await until(is_reported_unreachable, 15.0)
     nodes = await states()
     assert [nodes[f"host-{number}"].revision for number in range(3)] == [1, 1, 1]
     assert nodes["host-1"].data_centre == "south"
