--- a/src/bankrudder/rpc/_trainers.py
+++ b/src/bankrudder/rpc/_trainers.py
@@ -46,7 +46,7 @@
     async def OpenStep(
         self, request: pb.OpenStepRequest, context: ServicerContext
     ) -> AsyncIterator[pb.StepEvent]:
-        """Stream each sample of the step once, then a ``StepEnd``."""
+        """Stream each sample that the trainer does not hold, then a ``StepEnd``."""
         parent = metadata_value(context, TRACE_KEY)
         with (
             self._tracer.span("rpc.step", parent=parent, job=request.job) as span,
@@ -60,9 +60,9 @@
     async def Ack(
         self, request: pb.AckRequest, context: ServicerContext
     ) -> pb.AckReply:
-        """Record which samples the trainer holds.
+        """End a step if the request names all of its samples.
 
-        A stopping node still accepts this for its open steps.
+        A stopping node still accepts this, so that its open steps can end.
         """
         with self._admitted_trainer(context, request, is_new=False) as trainer:
             await self._steps.ack(
