--- a/src/bankrudder/node/_components.py
+++ b/src/bankrudder/node/_components.py
@@ -225,9 +225,10 @@
         )
 
     def _wall_ahead_s(self) -> float | None:
-        """Return how far the wall clock is ahead of the store's; None without duties.
+        """Return how far the wall clock is ahead of the store's clock.
 
-        Reports of usage, one of the duties, need it from all hosts.
+        None if it is not known yet, or if the platform has no duties. Reports of usage,
+        one of the duties, need this figure from all hosts.
         """
         if self._settings.duties is None:
             return None
--- a/src/bankrudder/node/_feeds.py
+++ b/src/bankrudder/node/_feeds.py
@@ -18,14 +18,16 @@
         self._documents = documents
 
     def significant_content(self, row: Row) -> bytes:
-        """Return the content of a row without what each heartbeat changes."""
+        """Return a row's content without the fields that each heartbeat changes."""
         try:
             if row.key.table == self._documents.endpoints_table:
                 endpoint = self._documents.endpoint(row.key.key, row.value)
                 return msgspec.msgpack.encode(endpoint)
             if row.key.table == HOSTS_TABLE:
-                beat = msgspec.json.decode(row.value, type=Heartbeat)
-                return msgspec.msgpack.encode(msgspec.structs.replace(beat, count=0))
+                heartbeat = msgspec.json.decode(row.value, type=Heartbeat)
+                return msgspec.msgpack.encode(
+                    msgspec.structs.replace(heartbeat, count=0)
+                )
         except (msgspec.DecodeError, UnreadableDocumentError):
             return row.value  # the table's follower logs what is invalid
         return row.value
--- a/src/bankrudder/node/_gateway.py
+++ b/src/bankrudder/node/_gateway.py
@@ -110,7 +110,7 @@
 
     @property
     def has_workspaces(self) -> bool:
-        """Whether callers must show a key of a workspace."""
+        """Whether callers must present a key of a workspace."""
         table = self._routes()
         return table is not None and table.has_workspaces
 
@@ -177,7 +177,7 @@
         )
 
     async def accept(self, batch: Batch) -> Reply | None:
-        """Accept a batch, also again; None means that it is accepted."""
+        """Accept a batch, also if it is resubmitted; None means that it is accepted."""
         try:
             is_accepted = await self._batches.accept(batch)
         except StoreUnavailableError as error:
--- a/src/bankrudder/node/_instruments.py
+++ b/src/bankrudder/node/_instruments.py
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    line_limit : LineLimit
+    line_limit : LogRateLimiter
         Counts the log lines by event.
     """
 
--- a/src/bankrudder/node/_key_refresher.py
+++ b/src/bankrudder/node/_key_refresher.py
@@ -11,17 +11,19 @@
 from bankrudder.world import Clock
 
 REFRESH_READS_SHARE = 0.05
+"""Share of the store's reads that refreshes may take."""
+
 MIN_REFRESH_PAUSE_S = 0.2
-"""Share of the store's reads that refreshes may take, and the shortest pause between
-two of them: about the time within which a response is most useful to a caller."""
+"""Shortest time between the starts of two refreshes: about the time within which a
+response is most useful to a caller."""
 
 REFRESH_TIMEOUT_S = 0.3
 """Longest duration of a refresh: sixty times that of a usual read of the store."""
 
 MAX_WAITING_COUNT = 100
 """Number of requests that may wait for a refresh at once. Further requests with unknown
-keys are refused without one, so that a flood of them takes no memory; each waiting
-request holds a few kilobytes."""
+keys are refused without a refresh, which bounds the memory that a flood of them takes;
+each waiting request holds a few kilobytes."""
 
 _log = structlog.get_logger("gateway")
 
@@ -34,7 +36,7 @@
     refresh : callable
         Reads and applies the newest configuration; raises `StoreUnavailableError`
         if it cannot be read.
-    pace : UnknownKeyRefresh
+    pace : UnknownKeyRefreshLimiter
         Decides when a refresh may begin.
     """
 
--- a/src/bankrudder/node/_node.py
+++ b/src/bankrudder/node/_node.py
@@ -30,7 +30,7 @@
 """Time reserved at the end of the grace period for closing connections."""
 
 HANDOVER_RETRY_PAUSE_S = 0.2
-"""Pause before batches are handed over again after the store did not commit it."""
+"""Pause before a handover that the store did not commit is tried again."""
 
 POLL_INTERVAL_S = 0.05
 """Interval between two checks while draining, and pause before a component that ended
@@ -44,7 +44,7 @@
 
     Parameters
     ----------
-    line_limit : LineLimit
+    line_limit : LogRateLimiter
         Also counts the log lines, for the metric of decisions.
     """
 
--- a/src/bankrudder/node/_platform_state.py
+++ b/src/bankrudder/node/_platform_state.py
@@ -18,19 +18,20 @@
 
 MIN_ENDPOINTS_PAUSE_S = 0.25
 """Shortest pause between two reads of the list of endpoints, which heartbeats change
-many times a second. The pause delays changes by an eighth of the time within which no
-new requests may go to a draining endpoint."""
+many times a second. The pause delays a change by at most an eighth of the two seconds
+after which a draining endpoint must not get new requests."""
 
 ENDPOINTS_READS_SHARE = 0.4
 """Share of the store's reads that the list of endpoints may take: the largest share,
 because the list is read the most often."""
 
 CONFIGURATION_READS_SHARE = 0.2
+"""Share of the store's reads for following the configuration."""
+
 MIN_CONFIGURATION_WAIT_S = 0.8
-"""Share of the store's reads for following the configuration, and the shortest time for
-which the store may hold such a read while nothing changes. This time plus the time to
-detect a silent connection is below the two seconds within which a new configuration
-must be in force."""
+"""Shortest time for which the store may hold a read of the configuration while nothing
+changes. This time plus the time to detect a silent connection is below the two seconds
+within which a new configuration must be in force."""
 
 EXPIRY_CHECK_INTERVAL_S = 0.2
 """Interval between two checks for endpoints that were not listed again in time: a tenth
@@ -78,7 +79,7 @@
 
     @property
     def routes(self) -> RoutingTable | None:
-        """The routes of the configuration in force, None before the first one."""
+        """The routes of the configuration and of jobs; None until either is known."""
         return self._routes
 
     @property
@@ -88,7 +89,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether a configuration and the list of endpoints are known."""
+        """Whether any routes and the list of endpoints are known."""
         return self._routes is not None and self._endpoints.is_loaded
 
     def endpoints_current_for_s(self) -> float:
--- a/src/bankrudder/node/_rpc_interface.py
+++ b/src/bankrudder/node/_rpc_interface.py
@@ -143,12 +143,12 @@
             components.tracer,
         )
         pb_grpc.add_TrainersServicer_to_server(trainers, server)  # type: ignore[no-untyped-call]
-        board = StatusReporter(
+        status_reporter = StatusReporter(
             components.presence, components.directory, self._is_serving, self._clock
         )
         operators = OperatorsServicer(
             self._context,
-            board,
+            status_reporter,
             components.tracer,
             UsageRows(components.store, self._clock),
             drain,
--- a/src/bankrudder/node/_settings.py
+++ b/src/bankrudder/node/_settings.py
@@ -50,7 +50,8 @@
         Where this host serves its subscribers while it is the reader.
     min_hosts : int
         Smallest number of hosts with which the feed is used. The store can serve the
-        reads of fewer hosts, which save the twelve megabytes of the feed's library.
+        reads of fewer hosts, and each of them saves the twelve megabytes of memory that
+        the feed's library takes.
     """
 
     address: Address
@@ -130,7 +131,7 @@
     feeds : FeedSettings or None
         Feed of the store's changes; None lets this host read the store for itself.
     log_level : LogLevel
-        Lowest level of the log lines that are written; a reload changes it.
+        Lowest level of the log lines that are written.
     rpc : RpcSettings or None
         The gRPC interface; None for none.
     duties : DutySettings or None
--- a/src/bankrudder/node/_store_reachability.py
+++ b/src/bankrudder/node/_store_reachability.py
@@ -20,15 +20,15 @@
 single lost reply takes, and shorter than the second between two readiness checks."""
 
 
-def is_store_unreachable(fails_since: float | None, clock: Clock) -> bool:
+def is_store_unreachable(failing_since: float | None, clock: Clock) -> bool:
     """Whether this host's calls to the store have failed for `UNREADY_AFTER`.
 
     Parameters
     ----------
-    fails_since : float or None
+    failing_since : float or None
         Monotonic time of the first of the consecutive failed calls, None if the last
         call succeeded.
     """
-    if fails_since is None:
+    if failing_since is None:
         return False
-    return clock.monotonic() - fails_since >= UNREADY_AFTER.total_seconds()
+    return clock.monotonic() - failing_since >= UNREADY_AFTER.total_seconds()
