--- a/tests/node/test_calls.py
+++ b/tests/node/test_calls.py
@@ -7,8 +7,8 @@
 from outside.site import configuration, until
 
 
-async def call(site, path="/score/1", request_id="q1", host=0, time_left="1500"):
-    headers = {"X-Request-Id": request_id, "X-Request-Deadline": time_left}
+async def call(site, path="/score/1", request_id="q1", host=0, time_left_ms="1500"):
+    headers = {"X-Request-Id": request_id, "X-Request-Deadline": time_left_ms}
     return await site.call(
         site.hosts[host], "POST", path, body=b"body", headers=headers
     )
@@ -38,10 +38,10 @@
 async def test_an_idempotent_request_does_not_wait_for_a_silent_endpoint(site):
     site.scorers[0].fail_next = ["silent"]
     site.scorers[1].fail_next = ["silent"]
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     status, _, _ = await call(site)
     assert status == 200
-    assert asyncio.get_running_loop().time() - began < 1.0
+    assert asyncio.get_running_loop().time() - started_at < 1.0
 
 
 @pytest.mark.parametrize("fault", ["reset", "foreign", "truncated"])
@@ -75,10 +75,10 @@
     for scorer in site.scorers:
         site.rows.remove("servers", scorer.id)
     await asyncio.sleep(1.0)
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     status, _, _ = await call(site)
     assert status == 503
-    assert asyncio.get_running_loop().time() - began < 0.5
+    assert asyncio.get_running_loop().time() - started_at < 0.5
 
 
 async def test_a_draining_endpoint_gets_nothing_new(site):
@@ -103,17 +103,17 @@
         scorer.delay_s = 5.0
     with pytest.raises(asyncio.TimeoutError):
         async with asyncio.timeout(0.05):
-            await call(site, "/once/1", time_left="9000")
+            await call(site, "/once/1", time_left_ms="9000")
     await until(lambda: any(each.cancelled_runs["q1"] for each in site.scorers), 0.6)
 
 
 async def test_a_request_ends_at_the_timeout_of_its_route(site):
     for scorer in site.scorers:
         scorer.delay_s = 5.0
-    began = asyncio.get_running_loop().time()
-    status, _, _ = await call(site, "/once/1", time_left="9000")
+    started_at = asyncio.get_running_loop().time()
+    status, _, _ = await call(site, "/once/1", time_left_ms="9000")
     assert status == 504
-    assert 1.3 < asyncio.get_running_loop().time() - began < 2.0
+    assert 1.3 < asyncio.get_running_loop().time() - started_at < 2.0
 
 
 async def test_an_unknown_route_is_not_found(site):
@@ -135,10 +135,10 @@
 async def test_a_planned_stop_answers_what_is_in_progress(site):
     for scorer in site.scorers:
         scorer.delay_s = 1.0
-    asked = asyncio.ensure_future(call(site, "/once/1", time_left="5000"))
+    pending_call = asyncio.ensure_future(call(site, "/once/1", time_left_ms="5000"))
     await until(lambda: runs(site) == 1)
     stopped = asyncio.ensure_future(site.hosts[0].stop())
-    assert (await asked)[0] == 200
+    assert (await pending_call)[0] == 200
     # The load balancer still sends new connections until two checks have failed.
     for scorer in site.scorers:
         scorer.delay_s = 0.0
--- a/tests/node/test_crashing_requests.py
+++ b/tests/node/test_crashing_requests.py
@@ -61,7 +61,7 @@
 
 
 async def ask(
-    site, host=0, path="/score/1", body=CRASHING, time_left="1500", **headers
+    site, host=0, path="/score/1", body=CRASHING, time_left_ms="1500", **headers
 ):
     name = f"q{next(request_numbers)}"
     return await site.call(
@@ -69,7 +69,7 @@
         "POST",
         path,
         body=body,
-        headers={"X-Request-Id": name, "X-Request-Deadline": time_left, **headers},
+        headers={"X-Request-Id": name, "X-Request-Deadline": time_left_ms, **headers},
     )
 
 
@@ -90,9 +90,9 @@
     statuses = await visit_hosts(site, scorer_service)
     assert scorer_service.runs <= MAX_CRASH_COUNT
     assert statuses[-3:] == [503] * 3
-    began = time.monotonic()
+    started_at = time.monotonic()
     status, headers, body = await ask(site)
-    assert time.monotonic() - began < IMMEDIATE_REPLY_S
+    assert time.monotonic() - started_at < IMMEDIATE_REPLY_S
     assert (status, body) == (503, b"not run: crashes_endpoints\n")
     assert float(headers["Retry-After"]) > 0
     lines = [
@@ -287,7 +287,7 @@
     for scorer in site.scorers:
         scorer.delay_s = 5.0
     statuses = [
-        (await ask(site, n, body=BLAMELESS, time_left="300"))[0] for n in range(4)
+        (await ask(site, n, body=BLAMELESS, time_left_ms="300"))[0] for n in range(4)
     ]
     assert statuses == [504] * 4
     for scorer in site.scorers:
@@ -302,8 +302,8 @@
         await asyncio.sleep(0.5)
         for scorer in site.scorers:
             scorer.delay_s = 1.0
-        asked = asyncio.ensure_future(
-            ask(site, number, "/once/1", body=BLAMELESS, time_left="4000")
+        pending_call = asyncio.ensure_future(
+            ask(site, number, "/once/1", body=BLAMELESS, time_left_ms="4000")
         )
         await until(lambda: any(each.busy for each in site.scorers))
         for scorer in site.scorers:
@@ -312,7 +312,7 @@
         await asyncio.sleep(0.5)
         for scorer in site.scorers:
             scorer.crash()
-        assert (await asked)[0] == 502
+        assert (await pending_call)[0] == 502
     await until(lambda: scorer_service.all_are_running)
     await asyncio.sleep(0.5)
     for scorer in site.scorers:
@@ -337,15 +337,15 @@
 async def _crash_during_request(site, host):
     for scorer in site.scorers:
         scorer.delay_s = 1.0
-    asked = asyncio.ensure_future(
-        ask(site, host, "/once/1", body=BLAMELESS, time_left="4000")
+    pending_call = asyncio.ensure_future(
+        ask(site, host, "/once/1", body=BLAMELESS, time_left_ms="4000")
     )
     await until(lambda: any(each.busy for each in site.scorers))
     for scorer in site.scorers:
         if scorer.busy:
             scorer.crash()
         scorer.delay_s = 0.0
-    assert (await asked)[0] == 502
+    assert (await pending_call)[0] == 502
 
 
 async def test_a_request_that_many_make_does_not_pay_for_a_common_end(
@@ -355,18 +355,18 @@
     await asyncio.sleep(0.5)
     for scorer in site.scorers:
         scorer.delay_s = 1.0
-    asked = [
+    pending_calls = [
         asyncio.ensure_future(
-            ask(site, host, "/once/1", body=BLAMELESS, time_left="4000")
+            ask(site, host, "/once/1", body=BLAMELESS, time_left_ms="4000")
         )
         for host in range(9)
     ]
     # A request that has not arrived yet would correctly be answered as not run.
-    await until(lambda: sum(each.busy for each in site.scorers) == len(asked))
+    await until(lambda: sum(each.busy for each in site.scorers) == len(pending_calls))
     for scorer in site.scorers:
         scorer.crash()
         scorer.delay_s = 0.0
-    assert {(await each)[0] for each in asked} == {502}
+    assert {(await each)[0] for each in pending_calls} == {502}
     await until(lambda: scorer_service.all_are_running)
     await asyncio.sleep(0.5)
     for host in range(3):
--- a/tests/node/test_explain.py
+++ b/tests/node/test_explain.py
@@ -1,4 +1,4 @@
-"""The operations page names log lines and metrics that the code really writes."""
+"""The operations page names only log lines and metrics that the code writes."""
 
 import asyncio
 import re
@@ -24,7 +24,7 @@
     assert [event for event in EVENT.findall(PAGE) if f'"{event}"' not in text] == []
 
 
-def test_every_metric_of_the_page_is_kept():
+def test_every_metric_of_the_page_is_exported():
     text = sources()
     assert [name for name in METRIC.findall(PAGE) if f'"{name}"' not in text] == []
 
--- a/tests/node/test_fault_table.py
+++ b/tests/node/test_fault_table.py
@@ -239,10 +239,11 @@
     ]
 
 
-async def row_violations(cell, folder, fault, steps):
+async def violations_by_step(find_violations, folder, fault, steps):
     """Run one fault at all steps concurrently; return the violations by step."""
     outcomes = await asyncio.gather(
-        *(cell(folder, FAULTS[fault], step) for step in steps), return_exceptions=True
+        *(find_violations(folder, FAULTS[fault], step) for step in steps),
+        return_exceptions=True,
     )
     return {step: found for step, found in zip(steps, outcomes, strict=True) if found}
 
@@ -250,10 +251,14 @@
 @pytest.mark.faults
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_a_batch_survives_a_fault_at_every_step(tmp_path, fault):
-    assert await row_violations(batch_violations, tmp_path, fault, BATCH_STEPS) == {}
+    assert (
+        await violations_by_step(batch_violations, tmp_path, fault, BATCH_STEPS) == {}
+    )
 
 
 @pytest.mark.faults
 @pytest.mark.parametrize("fault", FAULTS)
 async def test_orders_survive_a_fault_at_every_step(tmp_path, fault):
-    assert await row_violations(order_violations, tmp_path, fault, ORDER_STEPS) == {}
+    assert (
+        await violations_by_step(order_violations, tmp_path, fault, ORDER_STEPS) == {}
+    )
--- a/tests/node/test_restarts.py
+++ b/tests/node/test_restarts.py
@@ -47,8 +47,8 @@
         scorer.fail_next = ["silent"]
         put_entry(site, scorer, SCORERS)
     await asyncio.sleep(0.5)
-    began = time.monotonic()
-    asked = asyncio.ensure_future(
+    started_at = time.monotonic()
+    pending_call = asyncio.ensure_future(
         site.call(
             site.hosts[0],
             "POST",
@@ -60,9 +60,9 @@
     for scorer in site.scorers:
         scorer.begin_new_run(9)
         put_entry(site, scorer, SCORERS)
-    status, _, _ = await asked
+    status, _, _ = await pending_call
     assert status == 502
-    assert time.monotonic() - began < CRASH_LIMIT_S
+    assert time.monotonic() - started_at < CRASH_LIMIT_S
     assert sum(scorer.run_counts["once-1"] for scorer in site.scorers) == 1
 
 
@@ -73,7 +73,7 @@
         scorer.fail_next = ["silent"]
         put_entry(site, scorer, SCORERS)
     await asyncio.sleep(0.5)
-    asked = asyncio.ensure_future(
+    pending_call = asyncio.ensure_future(
         site.call(
             site.hosts[0],
             "POST",
@@ -86,7 +86,7 @@
     await until(lambda: all(scorer.run_counts["again-1"] for scorer in site.scorers))
     silent.begin_new_run(9)
     put_entry(site, silent, SCORERS)
-    status, _, body = await asked
+    status, _, body = await pending_call
     assert (status, body) == (200, b"answer to x")
 
 
--- a/tests/node/test_store_reachability.py
+++ b/tests/node/test_store_reachability.py
@@ -50,7 +50,7 @@
     cut_host, other = site.hosts[:2]
     cut_host.gate.mode = mode
     await until(lambda: is_unready(cut_host), 3.0)
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert await site.submit(cut_host, "b1") == 503
-    assert time.monotonic() - began < 1.5
+    assert time.monotonic() - started_at < 1.5
     assert await site.submit(other, "b1") == 202
--- a/tests/node/test_streams.py
+++ b/tests/node/test_streams.py
@@ -50,15 +50,17 @@
     assert (status, body) == (200, stream_body(start=2))
 
 
-@pytest.mark.parametrize(("path", "count"), [("/stream/1", 1), ("/resumable/1", 2)])
+@pytest.mark.parametrize(
+    ("path", "min_run_count"), [("/stream/1", 1), ("/resumable/1", 2)]
+)
 async def test_a_request_without_an_answer_is_sent_again_only_if_resumable(
-    site, path, count
+    site, path, min_run_count
 ):
     for engine in site.engines:
         engine.fail_next = ["reset"]
     status, _, _ = await call(site, path)
-    assert status == (502 if count == 1 else 200)
-    assert runs(site) >= count
+    assert status == (502 if min_run_count == 1 else 200)
+    assert runs(site) >= min_run_count
 
 
 async def test_a_full_endpoint_is_skipped(site):
@@ -90,7 +92,7 @@
     await asyncio.sleep(0.5)
     for engine in site.engines:
         engine.fail_next = ["silent"] * 5
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     status, _, _ = await call(site, path)
     assert status == 504
-    assert asyncio.get_running_loop().time() - began < 1.4
+    assert asyncio.get_running_loop().time() - started_at < 1.4
--- a/tests/node/test_suspended.py
+++ b/tests/node/test_suspended.py
@@ -75,7 +75,7 @@
     site = suspendable_site
     for scorer in site.scorers:
         scorer.fail_next = ["silent"] * 3
-    asked = asyncio.ensure_future(
+    pending_call = asyncio.ensure_future(
         site.call(
             site.hosts[0],
             "POST",
@@ -86,6 +86,6 @@
     await until(lambda: any(scorer.run_counts["q1"] for scorer in site.scorers))
     await site.hosts[0].suspend(2.0)
     sent = sum(scorer.run_counts["q1"] for scorer in site.scorers)
-    status, _, _ = await asked
+    status, _, _ = await pending_call
     assert status == 504
     assert sum(scorer.run_counts["q1"] for scorer in site.scorers) == sent
--- a/tests/node/test_usage.py
+++ b/tests/node/test_usage.py
@@ -58,37 +58,39 @@
     return next(each for each in site.hosts if each.name == name)
 
 
-async def reported(platform, seconds=LATE_S + 2 * WINDOW_S):
+async def wait_for_reports(platform, seconds=LATE_S + 2 * WINDOW_S):
     """Wait until all windows that ended by now are reported."""
     last = int(time.time() / WINDOW_S)
     await until(lambda: max(platform.usage) >= last, 3 * seconds)
 
 
 async def test_each_request_is_reported_once_for_its_workspace(site, platform):
-    began = int(time.time() / WINDOW_S)
+    first_window = int(time.time() / WINDOW_S)
     for number in range(12):
         workspace = "south" if number % 4 == 0 else "north"
         assert await call(site, workspace, number % 3, f"q{number}") == 200
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 9
     assert platform.total("south") == 3
-    ended = max(platform.usage)
-    assert sorted(platform.usage) == list(range(min(platform.usage), ended + 1))
-    assert all(not counts for at, counts in platform.usage.items() if at < began)
+    last_window = max(platform.usage)
+    assert sorted(platform.usage) == list(range(min(platform.usage), last_window + 1))
+    assert all(
+        not counts for window, counts in platform.usage.items() if window < first_window
+    )
 
 
 async def test_requests_that_did_not_run_are_not_reported(site, platform):
     for scorer in site.scorers:
         scorer.fail_next = ["full"] * 20
     assert await call(site) == 503
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 0
 
 
 async def test_rollouts_are_not_reported(site, platform):
     assert await site.submit(site.hosts[0], "b1", key="north-1") == 202
     await site.read_all("b1", 8, key="north-1")
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 0
 
 
@@ -98,7 +100,7 @@
     for number in range(6):
         assert await call(site, "north", others[number % 2], f"q{number}") == 200
     await holder.kill()
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 6
     assert holder_of(site, platform) is not holder
 
@@ -116,7 +118,7 @@
 async def test_lost_and_refused_reports_are_retried(site, platform, answers):
     platform.answers = list(answers)
     assert await call(site) == 200
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 1
 
 
@@ -127,7 +129,7 @@
     await asyncio.sleep(2 * LEASE_S)
     for host in site.hosts:
         host.gate.mode = GateMode.OPEN
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 1
 
 
@@ -139,12 +141,12 @@
     for host in site.hosts:
         await host.start()
     await site.wait_ready()
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 1
 
 
 async def test_a_planned_stop_loses_no_count(site, platform):
     assert await call(site, host=1) == 200
     assert await site.hosts[1].stop() == 0
-    await reported(platform)
+    await wait_for_reports(platform)
     assert platform.total("north") == 1
--- a/tests/node/test_workspaces.py
+++ b/tests/node/test_workspaces.py
@@ -315,8 +315,8 @@
         for name in ("b1", "none"):
             assert (await workspace_site.read(host, name, key="south-1"))[0] == 404
             assert await workspace_site.end(host, name, key="south-1") == 404
-            asked = sample_body(name, "b1-s0").with_key("south-1")
-            assert (await workspace_site.ask(host, asked))[0] == 404
+            body_call = sample_body(name, "b1-s0").with_key("south-1")
+            assert (await workspace_site.ask(host, body_call))[0] == 404
         for key in ("", "unknown"):
             assert (await workspace_site.read(host, "b1", key=key))[0] == 401
     check_results(await workspace_site.read_all("b1", 8, key="north-1"), "b1", 8)
