--- a/src/bankrudder/client/_trainer.py
+++ b/src/bankrudder/client/_trainer.py
@@ -1,7 +1,7 @@
 """The client for trainers.
 
 A step yields one sample for each slot: broken streams are opened again, duplicates are
-dropped, and samples older than the published weights allow are requested again.
+dropped, and samples that lag the published weights too far are requested again.
 """
 
 import asyncio
@@ -51,8 +51,8 @@
     patience_s : float
         Time without a sample after which a failure is raised instead of retried.
     acks : int
-        Maximum number of attempts to acknowledge a step; a step without an
-        acknowledgement ends by itself some time later.
+        Maximum number of attempts to acknowledge a step. The nodes end a step without
+        an acknowledgement once it has been open for their time limit.
     """
 
     backoff_s: float = 0.1
@@ -89,7 +89,7 @@
         self._settings = settings or TrainerSettings()
         self._sleep = sleep
         self._connections: dict[Address, TrainerConnection] = {}
-        self._published: dict[str, ModelVersion] = {}
+        self._published_versions: dict[str, ModelVersion] = {}
         self._duplicates_dropped = 0
         self._stale_dropped = 0
 
@@ -156,8 +156,8 @@
                 break
             except (NotRunError, OutcomeUnknownError) as error:
                 await self._fail_over(backoff, error)
-        newest = max(version, self._published.get(job, 0))
-        self._published[job] = ModelVersion(newest)
+        newest = max(version, self._published_versions.get(job, 0))
+        self._published_versions[job] = ModelVersion(newest)
 
     # ---- steps --------------------------------------------------------------
 
@@ -172,7 +172,7 @@
         max_tokens: int = 0,
         held: Iterable[SampleSlot] = (),
     ) -> AsyncGenerator[StepSample, None]:
-        """Yield one sample for each slot, in the order of their generation.
+        """Yield one sample for each slot that is not in `held`, in order of arrival.
 
         A sample that is too old for a version published in the meantime is dropped,
         and its slot is requested again. A step number of a job must always be used
@@ -193,7 +193,8 @@
         Raises
         ------
         BankrudderError
-            If the step is refused, or retries fail for `patience_s` without a sample.
+            If the step is refused, a message exceeds a size limit, or retries fail for
+            `patience_s` without a sample.
         """
         received = ReceivedStep(held, max_staleness)
         request = pb.OpenStepRequest(
@@ -210,7 +211,7 @@
                     received.record_consumed(sample.slot)
             await self._ack(request, received)
         finally:
-            self._add_counts(received)
+            self._add_dropped_counts(received)
 
     async def _samples(
         self, request: pb.OpenStepRequest, received: ReceivedStep
@@ -234,7 +235,7 @@
         """Yield the accepted samples of one stream; return at its end event."""
         open_request = pb.OpenStepRequest()
         open_request.CopyFrom(request)
-        open_request.current_version = self._published.get(request.job, 0)
+        open_request.current_version = self._published_versions.get(request.job, 0)
         received.record_opened(open_request.current_version)
         open_request.held.extend(_slots_to_proto(received.held))
         async with aclosing(self._connection().open_step(open_request)) as events:
@@ -242,14 +243,19 @@
                 if event.WhichOneof("event") == "end":
                     return
                 sample = _sample_from(event.sample)
-                if received.accept(sample, self._published.get(request.job, 0)):
+                if received.accept(
+                    sample, self._published_versions.get(request.job, 0)
+                ):
                     yield sample
         raise OutcomeUnknownError(
             FailureReason.ANSWER_BROKEN, "the stream closed without an end event"
         )
 
     async def _ack(self, request: pb.OpenStepRequest, received: ReceivedStep) -> None:
-        """Acknowledge all samples, so that the nodes delete the data of the step."""
+        """Acknowledge the processed samples; if these are all, the nodes end the step.
+
+        Failed attempts are logged; the failure of the last one is not raised either.
+        """
         ack = pb.AckRequest(
             job=request.job,
             step=request.step,
@@ -293,7 +299,7 @@
         self._addresses = allowed + others
         await self._sleep(backoff.next(error.failure.retry_after_s))
 
-    def _add_counts(self, received: ReceivedStep) -> None:
+    def _add_dropped_counts(self, received: ReceivedStep) -> None:
         self._duplicates_dropped += received.duplicate_count
         self._stale_dropped += received.stale_count
 
@@ -308,11 +314,11 @@
 
     @property
     def is_timed_out(self) -> bool:
-        idle_s = self._clock.monotonic() - self._last_progress
+        idle_s = self._clock.monotonic() - self._last_progress_at
         return idle_s > self._settings.patience_s
 
     def reset(self) -> None:
-        self._last_progress = self._clock.monotonic()
+        self._last_progress_at = self._clock.monotonic()
         self._wait_s = self._settings.backoff_s
 
     def next(self, retry_after_s: float | None) -> float:
